--- a/alderreach/decisions/cell/choice.py
+++ b/alderreach/decisions/cell/choice.py
@@ -34,7 +34,7 @@
     return (
         worker.is_usable(now_ms)
         and is_suitable(worker, step)
-        and worker.has_room(step)
+        and worker.has_capacity(step)
         and (not step.max_per_target or worker.count_of(group) < step.max_per_target)
     )
 
@@ -66,7 +66,7 @@
         self._rows = [self._row(worker) for worker in workers]
         heapq.heapify(self._rows)
 
-    def take(self, key, avoided="", is_crowded=lambda worker: False):
+    def pop_best(self, key, avoided="", is_crowded=lambda worker: False):
         """The best worker for a task, no longer ranked; None if there is none.
 
         ``avoided`` is the worker on which the task failed last; it and those for which
@@ -88,7 +88,7 @@
                 heapq.heappush(self._rows, row)
         return found[2] if found else None
 
-    def put_back(self, worker, now_ms):
+    def requeue(self, worker, now_ms):
         """Rank a worker again that has taken a task, if it may take another."""
         if may_run(worker, self._step, self._group, now_ms):
             heapq.heappush(self._rows, self._row(worker))
@@ -118,7 +118,7 @@
     return ()
 
 
-def gather(workers, step, group, wanted, now_ms):
+def plan_gang(workers, step, group, wanted, now_ms):
     """One worker for each of ``wanted`` tasks of a gang; None if they don't all fit.
 
     Where the gang wants one rack, the fullest rack that can hold it is taken, and the
--- a/alderreach/decisions/cell/crash_blame.py
+++ b/alderreach/decisions/cell/crash_blame.py
@@ -26,11 +26,11 @@
 YOUNG_MS = 60_000
 # A connection that ends so soon after a start was ended by a crash. One that ends later
 # was ended by a link that is reached again: the start may never have got there.
-BROKEN_OFF_MS = 200
+CRASH_DISCONNECT_MS = 200
 # With so many runs in doubt a task waits until it is known what became of one.
-IN_DOUBT_MOST = 3
+MAX_RUNS_IN_DOUBT = 3
 # Nothing else starts beside a suspect for so long; a culprit crashes a worker at once.
-APART_MS = 250
+SUSPECT_ISOLATION_MS = 250
 # Two crashes under a lone fresh run, three under fresh runs, five under young ones.
 BLAME_LIMIT = 9
 # From so much on a task starts apart: a crash under a fresh run, two under young ones.
@@ -42,12 +42,12 @@
     return blame >= SUSPECT_BLAME
 
 
-def is_too_much(blame):
+def reaches_blame_limit(blame):
     """Whether a task with so much blame is given up."""
     return blame >= BLAME_LIMIT
 
 
-def ends_of(worker, now_ms, is_known=lambda key: False):
+def ends_after_crash(worker, now_ms, is_known=lambda key: False):
     """How each run on a worker ended that is found gone, by (key, number of the run).
 
     Runs that the worker never heard of are left out, since they have not been there. So
@@ -69,13 +69,15 @@
             continue
         how = crashes.WORKER_CRASHED
         if run in fresh:
-            is_sure = len(fresh) == 1 and (run.is_confirmed or run.is_broken_off)
+            is_sure = len(fresh) == 1 and (
+                run.is_confirmed or run.lost_connection_at_start
+            )
             how = crashes.CRASHED_AT_LONE_START if is_sure else crashes.CRASHED_AT_START
         ends[(run.key, run.run)] = how
     return ends
 
 
-def has_fresh(worker, now_ms):
+def has_fresh_run(worker, now_ms):
     """Whether something has only just started on a worker."""
     return any(now_ms - run.placed_ms < FRESH_MS for run in worker.runs.values())
 
@@ -91,5 +93,5 @@
         return False
     if run.is_confirmed:
         return lost_ms - run.placed_ms < FRESH_MS
-    was_heard = run.placed_ms - worker.heard_ms < FRESH_MS
-    return run.is_broken_off or was_heard or not is_polled
+    was_heard = run.placed_ms - worker.last_contact_ms < FRESH_MS
+    return run.lost_connection_at_start or was_heard or not is_polled
--- a/alderreach/decisions/cell/health.py
+++ b/alderreach/decisions/cell/health.py
@@ -41,7 +41,7 @@
 # What moving a run costs beside doing the work again: a stop, a commit, a start.
 MOVE_COST_MS = 800
 # A task moved this often is left where it is: its progress may just not show.
-MOVES_MOST = 2
+MAX_MOVES = 2
 # Less progress between two polls than this is too rough to project from, unless this
 # much time has passed.
 GAINED_LEAST = 10
@@ -66,13 +66,13 @@
         self.out_ms = FIRST_OUT_MS
 
 
-def ended_well(worker):
+def record_success(worker):
     """A run was done: the worker is well."""
     worker.health.strikes.clear()
     worker.health.out_ms = FIRST_OUT_MS
 
 
-def strike(worker, job_id, workers, now_ms):
+def add_strike(worker, job_id, workers, now_ms):
     """Count a failure or stall of a job against a worker; True if it is now out.
 
     ``workers`` are all that are known, of every service.
@@ -114,13 +114,13 @@
     return bool(blamed)
 
 
-def whole_ms(run, now_ms):
+def full_duration_ms(run, now_ms):
     """How long all the work of a run that is done now takes, or None if unknown.
 
     Of a run that a new leader found, or that resumed from a checkpoint, only a part was
     seen; it stands for the rest by its pace, or its siblings would look slow beside it.
     """
-    if run.is_whole:
+    if run.is_fully_observed:
         return now_ms - run.placed_ms
     if run.first_ms is None or 100 - run.first_percent < GAINED_LEAST:
         return None
@@ -129,20 +129,27 @@
 
 def is_stalled(run, now_ms):
     """Whether a run that should get on has not moved for too long."""
-    return run.pace == 100 and run.percent < 100 and now_ms - run.moved_ms >= STALL_MS
+    return (
+        run.pace == 100
+        and run.percent < 100
+        and now_ms - run.last_progress_ms >= STALL_MS
+    )
 
 
 def slowness(run, durations_ms):
     """How many times as long as its done siblings a run takes, or None if unknown.
 
     >>> class Run:
-    ...     first_percent, first_ms, percent, moved_ms, pace = 2, 0, 14, 1200, 100
+    ...     first_percent, first_ms, percent, last_progress_ms, pace = 2, 0, 14, 1200, 100
     >>> slowness(Run, [1000, 1200, 900])
     10.0
     """
     if len(durations_ms) < SIBLINGS_LEAST or run.first_ms is None or run.pace != 100:
         return None
-    gained, watched_ms = run.percent - run.first_percent, run.moved_ms - run.first_ms
+    gained, watched_ms = (
+        run.percent - run.first_percent,
+        run.last_progress_ms - run.first_ms,
+    )
     if gained <= 0 or (gained < GAINED_LEAST and watched_ms < WATCHED_LEAST_MS):
         return None
     # A run may be done in the millisecond in which it was first seen to have begun.
@@ -150,14 +157,17 @@
     return watched_ms * 100 / gained / usual_ms
 
 
-def left_ms(run, now_ms):
+def remaining_ms(run, now_ms):
     """How long a run will still take by its pace, or None if that is not known."""
     if run.first_ms is None or run.pace != 100:
         return None
-    gained, watched_ms = run.percent - run.first_percent, run.moved_ms - run.first_ms
+    gained, watched_ms = (
+        run.percent - run.first_percent,
+        run.last_progress_ms - run.first_ms,
+    )
     if gained <= 0:
         return None
-    return watched_ms * (100 - run.percent) / gained - (now_ms - run.moved_ms)
+    return watched_ms * (100 - run.percent) / gained - (now_ms - run.last_progress_ms)
 
 
 def is_slow(ratios):
@@ -167,7 +177,7 @@
     return bool(ratios) and statistics.median(ratios) >= SLOW_RATIO
 
 
-def pays_to_move(run, ratio, durations_ms):
+def is_worth_moving(run, ratio, durations_ms):
     """Whether a run on a slow worker would be done sooner elsewhere, all of it anew."""
     usual_ms = statistics.median(durations_ms)
     left_ms = ratio * usual_ms * (100 - run.percent) / 100
--- a/alderreach/decisions/cell/pacing.py
+++ b/alderreach/decisions/cell/pacing.py
@@ -38,7 +38,7 @@
     return max(ratios, default=None)
 
 
-def changes(runs):
+def share_changes(runs):
     """(run, share) for each best-effort run whose share should change now.
 
     A share that is not known, since another leader or an order without an answer may
--- a/alderreach/decisions/cell/permissions.py
+++ b/alderreach/decisions/cell/permissions.py
@@ -17,11 +17,11 @@
 >>> made, rule = Permissions(), cell.PermissionRule(20, 0.2, 2000)
 >>> question = made.ask("g", ["w1", "w2"], rule, ["helper"], now_ms=0)
 >>> tickets = [cell.Ticket("w1", "t1")]
->>> _ = made.answered(question.query_id, True, tickets, rule, now_ms=20)
->>> made.wanted("g", ["w1", "w2", "w3"], 4, SAFETY_MS, now_ms=30)
+>>> _ = made.on_answer(question.query_id, True, tickets, rule, now_ms=20)
+>>> made.workers_to_query("g", ["w1", "w2", "w3"], 4, SAFETY_MS, now_ms=30)
 []
->>> made.found_short("g")
->>> made.wanted("g", ["w1", "w2", "w3"], 4, SAFETY_MS, now_ms=30)
+>>> made.record_shortage("g")
+>>> made.workers_to_query("g", ["w1", "w2", "w3"], 4, SAFETY_MS, now_ms=30)
 ['w3']
 """
 
@@ -32,7 +32,7 @@
 SAFETY_MS = 200
 # The longest list of workers in one question. Longer ones take longer to decide, and
 # a third or more of the workers are usually let run a step.
-ASKED_AT_MOST = 30
+MAX_NEW_PER_QUERY = 30
 # The permission service takes no question that names more workers; one that did would
 # be put again and again, and its step never placed.
 LONGEST_QUESTION = 100
@@ -55,7 +55,7 @@
 NO_HELPER_MS = 20
 
 
-class Question(typing.NamedTuple):
+class Query(typing.NamedTuple):
     """One question on its way."""
 
     query_id: str
@@ -125,19 +125,19 @@
         ticket, until_ms = answers.tickets.get(target_id, ("", 0))
         return ticket if until_ms - now_ms >= SAFETY_MS else None
 
-    def is_asking(self, group):
+    def has_open_query(self, group):
         """Whether a question for this group is on its way."""
         answers = self._groups.get(group)
         return answers is not None and answers.asking is not None
 
-    def permitted(self, group, now_ms):
+    def permitted_ids(self, group, now_ms):
         """Ids of workers with a ticket that is good for a start now."""
         answers = self._groups.get(group)
         if answers is None:
             return []
         return answers.fresh(SAFETY_MS - 1, now_ms)
 
-    def found_short(self, group):
+    def record_shortage(self, group):
         """Workers with good tickets had too little room for what waits of a group.
 
         A pause that was made while it was not short says nothing of what it needs now.
@@ -147,13 +147,13 @@
             answers.is_short = True
             answers.check_at_once()
 
-    def placed(self, group):
+    def clear_shortage(self, group):
         """Nothing of a group waits any more."""
         answers = self._groups.get(group)
         if answers is not None:
             answers.is_short = False
 
-    def renewal_ms(self, rule, tasks, helpers):
+    def renewal_lead_ms(self, rule, tasks, helpers):
         """How long before its tickets run out a step that waits has them renewed.
 
         The answer comes before the ticket runs out, or another step with a newer ticket
@@ -163,7 +163,7 @@
         idle = sum(helper not in self._busy for helper in helpers)
         if idle < IDLE_SHARE * len(helpers):
             return SAFETY_MS
-        return longest_renewal_ms(rule, tasks)
+        return max_renewal_lead_ms(rule, tasks)
 
     def may_ask(self, group, now_ms):
         """Whether it is worth working out whom to ask about; see ``wanted``.
@@ -185,7 +185,7 @@
             return answers.asking.due_ms + 1
         return max(answers.next_check_ms, now_ms + NO_HELPER_MS)
 
-    def may_need_ahead(self, group, tasks, ahead_ms, now_ms):
+    def may_ask_ahead(self, group, tasks, ahead_ms, now_ms):
         """As ``may_ask``, for a step that is yet to open: not with tickets enough.
 
         Of a step that waits they say nothing: they may be of workers that drain, or are
@@ -199,7 +199,7 @@
         fresh = len(answers.fresh(ahead_ms, now_ms))
         return not fresh or fresh < min(_enough(tasks), len(answers.tickets))
 
-    def nothing_to_ask(self, group, now_ms, ahead_ms=SAFETY_MS, workers_version=0):
+    def pause_checks(self, group, now_ms, ahead_ms=SAFETY_MS, workers_version=0):
         """There was nobody to ask about; not worth working out again for a while.
 
         It is again once a ticket has less than ``ahead_ms`` left, the most by which one
@@ -211,7 +211,7 @@
             expiry_ms = answers.next_expiry_ms(now_ms + SAFETY_MS)
             answers.next_check_ms = max(answers.early_check_ms, expiry_ms - ahead_ms)
 
-    def workers_changed(self, appeared, gone):
+    def on_workers_changed(self, appeared, gone):
         """Workers have become usable or unusable; returns the groups it concerns.
 
         A group may be asked for with a worker that it was not denied, and has fewer
@@ -226,7 +226,7 @@
                 concerned.append(group)
         return concerned
 
-    def wanted(self, group, suitable, tasks, ahead_ms, now_ms, is_gang=False):
+    def workers_to_query(self, group, suitable, tasks, ahead_ms, now_ms, is_gang=False):
         """Workers to ask about now, best first; empty if nothing has to be asked.
 
         ``suitable`` are ids of workers in the order in which they are wanted, and
@@ -245,13 +245,13 @@
             return []
         new = []
         if answers.is_short or not any(t in answers.tickets for t in suitable):
-            new = self.unasked(group, suitable)[:ASKED_AT_MOST]
+            new = self.not_yet_queried(group, suitable)[:MAX_NEW_PER_QUERY]
         stale = _to_renew(answers, suitable, tasks, ahead_ms, now_ms)
         if stale and is_gang and answers.is_short:
             stale = [t for t in suitable if t in answers.tickets]
         return [*stale[: LONGEST_QUESTION - len(new)], *new]
 
-    def unasked(self, group, suitable):
+    def not_yet_queried(self, group, suitable):
         """Those of some workers that nobody asked about yet."""
         answers = self._groups.setdefault(group, _Answers())
         return [
@@ -260,18 +260,18 @@
             if target_id not in answers.tickets and target_id not in answers.denied
         ]
 
-    def ever_permitted(self, group):
+    def ever_permitted_ids(self, group):
         """Ids of workers that a group was let run on, with tickets good or not."""
         answers = self._groups.get(group)
         return list(answers.tickets) if answers is not None else []
 
-    def granted(self, group, target_ids):
+    def count_permitted(self, group, target_ids):
         """How many of some workers a group was ever let run on."""
         answers = self._groups.get(group)
         tickets = answers.tickets if answers is not None else {}
         return sum(target_id in tickets for target_id in target_ids)
 
-    def denied(self, group):
+    def count_denied(self, group):
         """How many workers were turned down for a group."""
         answers = self._groups.get(group)
         return len(answers.denied) if answers is not None else 0
@@ -296,7 +296,7 @@
             return None
         self._serial += 1
         due_ms = now_ms + 2 * _decision_ms(rule, target_ids) + ANSWER_SLACK_MS
-        question = Question(str(self._serial), group, target_ids, helper, due_ms)
+        question = Query(str(self._serial), group, target_ids, helper, due_ms)
         self._questions[question.query_id] = question
         self._busy[helper] = question
         self._groups.setdefault(group, _Answers()).asking = question
@@ -306,7 +306,7 @@
         """The question with this id, or None if it was given up."""
         return self._questions.get(query_id)
 
-    def answered(self, query_id, is_decided, granted, rule, now_ms):
+    def on_answer(self, query_id, is_decided, granted, rule, now_ms):
         """Note an answer; returns its question, or None for one given up on."""
         question = self._questions.get(query_id)
         if question is None:
@@ -326,7 +326,7 @@
         answers.check_at_once()
         return question
 
-    def refuse(self, group, target_id):
+    def invalidate_ticket(self, group, target_id):
         """A worker did not take a ticket: it is too old, or from another life."""
         answers = self._groups.get(group)
         if answers is not None and target_id in answers.tickets:
@@ -337,7 +337,7 @@
         """Nothing of this group will be started any more."""
         self._groups.pop(group, None)
 
-    def forget_all(self, is_over):
+    def forget_matching(self, is_over):
         """Forget all groups of which ``is_over`` holds."""
         for group in [group for group in self._groups if is_over(group)]:
             del self._groups[group]
@@ -377,7 +377,7 @@
     return max(RENEWED_AT_LEAST, RENEWED_PER_TASK * tasks)
 
 
-def longest_renewal_ms(rule, tasks):
+def max_renewal_lead_ms(rule, tasks):
     """The earliest that tickets are renewed before they run out."""
     return SAFETY_MS + lead_ms(rule, _enough(tasks))
 
--- a/alderreach/decisions/cell/pools.py
+++ b/alderreach/decisions/cell/pools.py
@@ -23,13 +23,13 @@
         self._gained = {}
         self._due_ms = 0
 
-    def gained_room(self, target_id):
+    def mark_freed(self, target_id):
         """A run has left a worker, or the worker is larger than before."""
         self._gained[target_id] = None
 
-    def worker_changed(self, target_id):
+    def on_worker_changed(self, target_id):
         """A worker's record is another one, or the worker is gone."""
-        self.gained_room(target_id)
+        self.mark_freed(target_id)
         self._due_ms = 0
 
     def refresh(self, now_ms):
@@ -72,7 +72,7 @@
                     found.append(worker)
         return found
 
-    def take_gained(self):
+    def pop_freed(self):
         """Usable workers that have gained room since the last call."""
         gained, self._gained = self._gained, {}
         return [
--- a/alderreach/decisions/cell/preemption.py
+++ b/alderreach/decisions/cell/preemption.py
@@ -6,7 +6,7 @@
 
 Only runs that save their progress when they are stopped give way, so what is lost is
 the time until they start again and their restore, not their work. A run gives way to a
-queue of higher priority only, while its own job can still be in time, ``YIELDS_MOST``
+queue of higher priority only, while its own job can still be in time, ``MAX_YIELDS``
 times at most, and only once the urgent step has waited for longer than room usually
 takes to come by itself.
 """
@@ -26,7 +26,7 @@
 # job that has less to spare, by its estimates, would miss its own objective for it.
 YIELD_COST_MS = 1500
 # Often enough for two bursts in a long task's life; never without end.
-YIELDS_MOST = 2
+MAX_YIELDS = 2
 NOTHING = common.Resources(0, 0, 0)
 
 
@@ -38,7 +38,7 @@
     fitting: int
 
 
-def choose(workers, step, wanted, may_yield, group=None):
+def choose_victims(workers, step, wanted, may_yield, group=None):
     """Victims whose stop makes room for ``wanted`` tasks of a step, the cheapest first.
 
     ``workers`` are those on which the step may start but for want of room, and
--- a/alderreach/decisions/cell/waiting.py
+++ b/alderreach/decisions/cell/waiting.py
@@ -10,7 +10,7 @@
 - ``PERMISSION``: everybody was asked about, and nobody may run it.
 - ``ROOM``: all that may run it have too little room.
 
->>> cause(Standing(31, 120, 12, 12, 9, 16, 92, False, True))
+>>> cause(WaitState(31, 120, 12, 12, 9, 16, 92, False, True))
 'question'
 """
 
@@ -25,7 +25,7 @@
 ROOM = "room"
 
 
-class Standing(typing.NamedTuple):
+class WaitState(typing.NamedTuple):
     """How a waiting step stands; counts of tasks and of workers."""
 
     waiting: int
--- a/alderreach/decisions/cell/workers.py
+++ b/alderreach/decisions/cell/workers.py
@@ -23,7 +23,7 @@
 CLOSED = "closed"
 
 # A worker's clock may run 2 % slow, so a lease lasts that much longer for the leader.
-SLOW_CLOCK = 1.03
+CLOCK_DRIFT_FACTOR = 1.03
 # Covers rounding, and the time between reading the clock and the call's leaving.
 LEASE_MARGIN_MS = 400
 # Two missed heartbeats of 1.5 s: a worker that is silent for longer gets nothing new.
@@ -54,14 +54,14 @@
         "demand",
         "first_ms",
         "first_percent",
-        "is_broken_off",
+        "lost_connection_at_start",
         "is_confirmed",
         "is_long",
-        "is_whole",
+        "is_fully_observed",
         "key",
         "load",
         "may_yield",
-        "moved_ms",
+        "last_progress_ms",
         "next_send_ms",
         "order",
         "pace",
@@ -81,9 +81,9 @@
         self.best_effort = step.best_effort
         self.tail_target_ms = step.tail_target_ms
         self.is_long = step.long_running
-        self.is_whole = True
+        self.is_fully_observed = True
         self.is_confirmed = False
-        self.is_broken_off = False
+        self.lost_connection_at_start = False
         self.allow_duplicates = step.allow_duplicates
         self.abandoned = False
         self.ticket = ticket
@@ -94,7 +94,7 @@
         self.percent = 0
         self.first_percent = 0
         self.first_ms = None
-        self.moved_ms = now_ms
+        self.last_progress_ms = now_ms
         self.placed_ms = now_ms
         self.load = 0.0
         self.pace = 100
@@ -130,24 +130,24 @@
         self.rack = rack_of(record.labels)
         self.runs = {}
         self.used = [0, 0, 0]
-        self.shown = False
+        self.has_seen_epoch = False
         self.awaits_list = False
-        self.life = 0
-        self.is_settling = False
-        self.has_ends = False
+        self.incarnation = 0
+        self.is_recording_ends = False
+        self.has_ends_to_acknowledge = False
         self.unsettled = {}
         self.is_leaving = False
         self.is_evacuated = False
         self.announced_ms = now_ms
         self.sequence = -1
-        self.heard_ms = now_ms
+        self.last_contact_ms = now_ms
         self.failures = 0
         self.failed_ms = None
-        self.vanished = {}
-        self.former_ends = {}
+        self.runs_in_doubt = {}
+        self.previous_ends = {}
         self.is_refusing = False
-        self.lapses_ms = lapses_ms
-        self.offset_ms = None
+        self.lease_end_ms = lapses_ms
+        self.clock_offset_ms = None
         self.offset_at_ms = now_ms
         self.cursor = 0
         self.poll_sent_ms = None
@@ -158,25 +158,25 @@
         self.held_back_until_ms = 0
         self.health = health.Record()
 
-    def note_answer(self, outcome, now_ms):
+    def record_call_outcome(self, outcome, now_ms):
         """Learn from whether a call was answered: a worker that misses one is doubtful.
 
         Answers that prove nothing about its health leave that as it was.
         """
         self.is_refusing = outcome == orders.NOT_LISTENING
         if outcome in (orders.UNKNOWN, *orders.NOT_CONNECTED):
-            self.note_failure(now_ms)
+            self.record_failed_call(now_ms)
         elif outcome == orders.OK:
             self.failures = 0
             self.failed_ms = None
 
-    def note_failure(self, now_ms):
+    def record_failed_call(self, now_ms):
         """A call had no answer, or none that helps."""
         if not self.failures:
             self.failed_ms = now_ms
         self.failures += 1
 
-    def may_arrive_late(self, run, now_ms):
+    def expect_late_start(self, run, now_ms):
         """A start of this run got no answer and may be carried out seconds later."""
         self.unsettled[(str(run.key), run.run)] = now_ms + LATE_MS
 
@@ -186,42 +186,46 @@
         self.unsettled = late
         return list(late)
 
-    def begin_life(self):
+    def begin_incarnation(self):
         """Forget what was known of the life before: its ends, its epoch, its clock.
 
         A poll under way may be answered by either life, so its answer won't count.
         """
-        self.life += 1
+        self.incarnation += 1
         self.poll_sent_ms = self.poll = None
         self.cursor = 0
-        self.shown = False
+        self.has_seen_epoch = False
         self.awaits_list = True
-        self.offset_ms = None
+        self.clock_offset_ms = None
 
-    def is_other_clock(self, clock_ms, now_ms):
+    def is_clock_of_other_incarnation(self, clock_ms, now_ms):
         """Whether a clock is too far behind to be the one that is known."""
-        if self.offset_ms is None:
+        if self.clock_offset_ms is None:
             return False
-        aged = self.offset_ms - (SLOW_CLOCK - 1) * (now_ms - self.offset_at_ms)
+        aged = self.clock_offset_ms - (CLOCK_DRIFT_FACTOR - 1) * (
+            now_ms - self.offset_at_ms
+        )
         return clock_ms - now_ms < aged - OTHER_LIFE_BEHIND_MS
 
-    def note_clock(self, clock_ms, now_ms):
+    def update_clock_offset(self, clock_ms, now_ms):
         """Learn how far the worker's clock is ahead of ours; never too far ahead.
 
         An answer is older than its arrival, so a sample is at most too low. An earlier,
         higher sample is kept while its clock can't have fallen behind it.
         """
         sample = clock_ms - now_ms
-        if self.offset_ms is not None:
-            aged = self.offset_ms - (SLOW_CLOCK - 1) * (now_ms - self.offset_at_ms)
+        if self.clock_offset_ms is not None:
+            aged = self.clock_offset_ms - (CLOCK_DRIFT_FACTOR - 1) * (
+                now_ms - self.offset_at_ms
+            )
             sample = max(sample, int(aged))
-        self.offset_ms, self.offset_at_ms = sample, now_ms
+        self.clock_offset_ms, self.offset_at_ms = sample, now_ms
 
-    def lease_until_ms(self, lease_ms, now_ms):
+    def grant_lease(self, lease_ms, now_ms):
         """Grant a lease from now on; returns its end on the worker's clock."""
-        lapses_ms = now_ms + int(lease_ms * SLOW_CLOCK) + LEASE_MARGIN_MS
-        self.lapses_ms = max(self.lapses_ms, lapses_ms)
-        return now_ms + self.offset_ms + lease_ms
+        lapses_ms = now_ms + int(lease_ms * CLOCK_DRIFT_FACTOR) + LEASE_MARGIN_MS
+        self.lease_end_ms = max(self.lease_end_ms, lapses_ms)
+        return now_ms + self.clock_offset_ms + lease_ms
 
     def is_planned_to_end(self):
         """Whether it has said that it drains or ends."""
@@ -230,19 +234,19 @@
     def is_usable(self, now_ms):
         """Whether new runs may be placed here."""
         return (
-            self.shown
+            self.has_seen_epoch
             and not self.is_leaving
             and self.record.state == "ready"
             and self.failures < DOUBTFUL_FAILURES
             and now_ms >= max(self.held_back_until_ms, self.health.out_until_ms)
-            and now_ms - max(self.announced_ms, self.heard_ms) < SILENT_AFTER_MS
+            and now_ms - max(self.announced_ms, self.last_contact_ms) < SILENT_AFTER_MS
         )
 
     def hold_back(self, until_ms):
         """Have nothing more placed here before a moment."""
         self.held_back_until_ms = max(self.held_back_until_ms, until_ms)
 
-    def has_room(self, step):
+    def has_capacity(self, step):
         """Whether a task of a step fits beside what is here."""
         capacity, used, demand = self.record.capacity, self.used, step.demand
         cpu_fits = (
--- a/alderreach/ops/controller/leader_state.py
+++ b/alderreach/ops/controller/leader_state.py
@@ -25,7 +25,7 @@
     what added to the steady clock gives the cell's time, ``is_time_known()`` whether
     that rests on more than one process's clock, ``helpers()`` the peers that
     may put questions to the permission service, and ``ask(question)`` gives one of
-    them a ``permissions.Question``.
+    them a ``permissions.Query``.
     """
 
     settings: typing.Any
@@ -158,7 +158,7 @@
 
     def has_too_much_doubt(self, task):
         """Whether a task waits until it is known what became of one of its runs."""
-        return self._runs_in_doubt(task) >= crash_blame.IN_DOUBT_MOST
+        return self._runs_in_doubt(task) >= crash_blame.MAX_RUNS_IN_DOUBT
 
     def _runs_in_doubt(self, task):
         return sum(self._worker_of(each) is not None for each in task.in_doubt)
@@ -188,7 +188,7 @@
         """Forget what is kept of jobs that have ended."""
         self.drop_ended(self.durations)
         self.drop_ended(self.moves)
-        self.permissions.forget_all(self.is_over)
+        self.permissions.forget_matching(self.is_over)
 
     def add_worker(self, record):
         """Take up a worker, with the runs that the state has on it.
@@ -199,7 +199,7 @@
         """
         settings = self.environment.settings
         now_ms = self.now_ms()
-        longest_ms = int(self.lease_ms() * workers.SLOW_CLOCK)
+        longest_ms = int(self.lease_ms() * workers.CLOCK_DRIFT_FACTOR)
         lapses_ms = now_ms + longest_ms + settings.timing.election_timeout_ms
         lapses_ms += workers.LEASE_MARGIN_MS
         worker = workers.Worker(record, now_ms, lapses_ms)
@@ -215,7 +215,7 @@
     def drop_worker(self, target_id):
         """Forget a worker on which nothing runs."""
         del self.workers[target_id]
-        self.pools.worker_changed(target_id)
+        self.pools.on_worker_changed(target_id)
         self.links.pop(target_id).close()
 
     def queue_of(self, job):
--- a/alderreach/ops/controller/order_answers.py
+++ b/alderreach/ops/controller/order_answers.py
@@ -25,11 +25,11 @@
         return
     now_ms, result = leader.now_ms(), mail.result
     if result.clock_ms is not None:
-        if worker.is_other_clock(result.clock_ms, now_ms):
+        if worker.is_clock_of_other_incarnation(result.clock_ms, now_ms):
             worker_lifecycle.suspect_new_life(leader, worker)
-        worker.note_clock(result.clock_ms, now_ms)
-        worker.heard_ms = now_ms
-    worker.note_answer(result.outcome, now_ms)
+        worker.update_clock_offset(result.clock_ms, now_ms)
+        worker.last_contact_ms = now_ms
+    worker.record_call_outcome(result.outcome, now_ms)
     if result.outcome == orders.OTHER_LIFE:
         worker_lifecycle.life_over(leader, worker)
         return
@@ -63,7 +63,7 @@
     if result.outcome == orders.OK:
         run.state = workers.RUNNING
         run.is_confirmed = True
-        run.answered_ms = run.moved_ms = now_ms
+        run.answered_ms = run.last_progress_ms = now_ms
         return
     leader.environment.record(
         "start_not_taken",
@@ -76,17 +76,19 @@
     leader.environment.metrics.count("starts_not_taken", result.outcome)
     if result.outcome == orders.NO_TICKET:
         group = cell_state.GroupKey(*run.key[:3])
-        leader.permissions.refuse(group, worker.target_id)
+        leader.permissions.invalidate_ticket(group, worker.target_id)
         leader.revisit(group)
     if result.outcome in (orders.NO_ROOM, orders.REFUSED, orders.NO_TICKET):
         worker.held_back_until_ms = now_ms + HOLD_BACK_MS
-        leader.pools.worker_changed(worker.target_id)
+        leader.pools.on_worker_changed(worker.target_id)
     if result.outcome in orders.NOT_CARRIED_OUT and run.sends == 1:
         runs.end_run(leader, worker, run, "refused")
     elif result.outcome == orders.UNKNOWN:
-        is_at_start = now_ms - run.placed_ms < crash_blame.BROKEN_OFF_MS
-        run.is_broken_off = run.is_broken_off or (result.is_broken_off and is_at_start)
-        worker.may_arrive_late(run, now_ms)
+        is_at_start = now_ms - run.placed_ms < crash_blame.CRASH_DISCONNECT_MS
+        run.lost_connection_at_start = run.lost_connection_at_start or (
+            result.is_broken_off and is_at_start
+        )
+        worker.expect_late_start(run, now_ms)
         run.next_send_ms = now_ms + RESEND_AFTER_MS
     elif result.outcome == orders.FENCED:
         logging.warning("worker %s saw a higher epoch", worker.target_id)
--- a/alderreach/ops/controller/permission_answers.py
+++ b/alderreach/ops/controller/permission_answers.py
@@ -8,7 +8,7 @@
         return
     job = leader.state.jobs.get(question.group[0])
     rule = leader.queue_of(job).permission if job else None
-    leader.permissions.answered(
+    leader.permissions.on_answer(
         message.query_id,
         message.is_decided and rule is not None,
         message.granted,
--- a/alderreach/ops/controller/permission_queries.py
+++ b/alderreach/ops/controller/permission_queries.py
@@ -51,9 +51,9 @@
         """
         known = self._leader.permissions
         if has_permitted:
-            known.found_short(group)
+            known.record_shortage(group)
         if known.may_ask(group, now_ms):
-            ahead_ms = known.renewal_ms(rule, tasks, self._helpers)
+            ahead_ms = known.renewal_lead_ms(rule, tasks, self._helpers)
             self._ask(job, group, rule, tasks, ahead_ms, now_ms)
 
     def next_ms(self, group, now_ms):
@@ -84,9 +84,9 @@
         """Ask for a step that is to open if it is time; returns when to look again."""
         tasks = job.record.steps[group.step].tasks
         known = self._leader.permissions
-        if not known.may_need_ahead(group, tasks, AHEAD_MS, now_ms):
+        if not known.may_ask_ahead(group, tasks, AHEAD_MS, now_ms):
             return ASK_AHEAD_INTERVAL_MS
-        lead_ms = permissions.lead_ms(rule, permissions.ASKED_AT_MOST)
+        lead_ms = permissions.lead_ms(rule, permissions.MAX_NEW_PER_QUERY)
         left_ms = self._left_ms(job, group, now_ms)
         if left_ms is None:
             return ASK_AHEAD_INTERVAL_MS
@@ -103,7 +103,9 @@
             return
         suitable = self._suitable(job, group, now_ms)
         is_gang = job.record.steps[group.step].gang
-        wanted = known.wanted(group, suitable, tasks, ahead_ms, now_ms, is_gang)
+        wanted = known.workers_to_query(
+            group, suitable, tasks, ahead_ms, now_ms, is_gang
+        )
         self._put(group, wanted, rule, tasks, now_ms)
 
     def _has_helper(self, rule):
@@ -113,8 +115,8 @@
     def _put(self, group, target_ids, rule, tasks, now_ms):
         leader = self._leader
         if not target_ids:
-            longest_ms = permissions.longest_renewal_ms(rule, tasks)
-            leader.permissions.nothing_to_ask(group, now_ms, longest_ms)
+            longest_ms = permissions.max_renewal_lead_ms(rule, tasks)
+            leader.permissions.pause_checks(group, now_ms, longest_ms)
             return
         question = leader.permissions.ask(
             group, target_ids, rule, self._helpers, now_ms, self._quickest_ms
@@ -149,15 +151,15 @@
         roomy, full = [], []
         for worker in pool:
             if choice.is_suitable(worker, step):
-                ids = roomy if worker.has_room(step) else full
+                ids = roomy if worker.has_capacity(step) else full
                 ids.append(worker.target_id)
         return roomy + full
 
     def _narrowed(self, pool, service, group):
         """Of a large pool the permitted workers, and the freest to be asked about."""
         known = self._leader.permissions
-        names = known.unasked(group, [worker.target_id for worker in pool])
-        wanted = [*known.ever_permitted(group), *names[:CONSIDERED_MOST]]
+        names = known.not_yet_queried(group, [worker.target_id for worker in pool])
+        wanted = [*known.ever_permitted_ids(group), *names[:CONSIDERED_MOST]]
         return self._leader.pools.usable_among(service, wanted)
 
     def _left_ms(self, job, group, now_ms):
@@ -180,7 +182,7 @@
         run = worker.runs.get(key) if worker else None
         if run is None:
             return step.estimated_ms
-        left_ms = health.left_ms(run, now_ms)
+        left_ms = health.remaining_ms(run, now_ms)
         if left_ms is None:
             left_ms = step.estimated_ms - (now_ms - run.placed_ms)
         return max(0, left_ms)
--- a/alderreach/ops/controller/placing.py
+++ b/alderreach/ops/controller/placing.py
@@ -93,7 +93,7 @@
         appeared, gone = leader.pools.refresh(now_ms)
         if not appeared and not gone:
             return
-        for group in leader.permissions.workers_changed(appeared, gone):
+        for group in leader.permissions.on_workers_changed(appeared, gone):
             if group in self._due_ms:
                 due_ms = self._queries.next_ms(group, now_ms)
                 self._due_ms[group] = min(self._due_ms[group], due_ms)
@@ -105,14 +105,14 @@
             if group in self._due_ms:
                 self._due_ms[group] = now_ms
         leader.revisited.clear()
-        gained = leader.pools.take_gained()
+        gained = leader.pools.pop_freed()
         if not gained and now_ms < min(self._due_ms.values(), default=math.inf):
             return
         started = visits = 0
         for group in self._queue.groups():
             if started >= STARTS_PER_PASS or leader.now_ms() - now_ms >= PASS_MS:
                 for worker in gained:
-                    leader.pools.gained_room(worker.target_id)
+                    leader.pools.mark_freed(worker.target_id)
                 leader.is_stale = True
                 break
             if leader.is_over(group):
@@ -222,7 +222,7 @@
         self._due_ms.pop(group, None)
         self._ranks.pop(group, None)
         self._wait_reports.started(group)
-        self._leader.permissions.placed(group)
+        self._leader.permissions.clear_shortage(group)
 
     def _consider_whole(self, group, now_ms):
         """Start what can be started of a group; returns how many tasks.
@@ -258,7 +258,7 @@
             worker
             for worker in gained
             if worker.record.service == job.record.service
-            and worker.has_room(step)
+            and worker.has_capacity(step)
             and (rule is None or self._has_ticket(group, worker, now_ms))
             and self._may_use(group, worker)
         ]
@@ -278,7 +278,7 @@
         if rule is None:
             pool = pools.usable(service)
         else:
-            permitted = self._leader.permissions.permitted(group, now_ms)
+            permitted = self._leader.permissions.permitted_ids(group, now_ms)
             pool = pools.usable_among(service, permitted)
         return [worker for worker in pool if self._may_use(group, worker)]
 
@@ -329,8 +329,8 @@
                 return started
             self._start(worker, group, step, index, task.run + 1, now_ms)
             if starts_apart:
-                worker.hold_back(now_ms + crash_blame.APART_MS)
-            ranking.put_back(worker, now_ms)
+                worker.hold_back(now_ms + crash_blame.SUSPECT_ISOLATION_MS)
+            ranking.requeue(worker, now_ms)
         return len(waiting)
 
     def _domains_of(self, tasks):
@@ -347,7 +347,7 @@
         """Start all tasks of a gang in one run, or none."""
         if any(task.state != cell_state.WAITING for task in tasks):
             return 0
-        chosen = choice.gather(pool, step, group, len(tasks), now_ms)
+        chosen = choice.plan_gang(pool, step, group, len(tasks), now_ms)
         if chosen is None:
             return 0
         run = max(task.run for task in tasks) + 1
@@ -377,8 +377,10 @@
     """The best worker for a task, or None; one that starts apart avoids fresh runs."""
     failed_on = task.target_id if task.failed_run else ""
     if not starts_apart:
-        return ranking.take(key, failed_on)
-    return ranking.take(key, failed_on, lambda w: crash_blame.has_fresh(w, now_ms))
+        return ranking.pop_best(key, failed_on)
+    return ranking.pop_best(
+        key, failed_on, lambda w: crash_blame.has_fresh_run(w, now_ms)
+    )
 
 
 def _due_ms(job, group):
--- a/alderreach/ops/controller/preempting.py
+++ b/alderreach/ops/controller/preempting.py
@@ -45,7 +45,7 @@
         for target_id, hold in list(self._holds.items()):
             if now_ms >= hold.until_ms or not is_waiting(hold.group):
                 del self._holds[target_id]
-                self._leader.pools.gained_room(target_id)
+                self._leader.pools.mark_freed(target_id)
 
     def next_ms(self, job, group, since_ms):
         """When room may be made for a group that waits since a moment."""
@@ -65,7 +65,7 @@
         priority = leader.queue_of(job).priority
         step = job.record.steps[group.step]
         may_yield = lambda run: self._may_yield(run, priority)
-        chosen = preemption.choose(pool, step, wanted, may_yield, group)
+        chosen = preemption.choose_victims(pool, step, wanted, may_yield, group)
         pause_ms = preemption.STOP_MS if chosen else preemption.RETRY_MS
         self._next_ms[group] = now_ms + pause_ms
         for victims in chosen:
@@ -82,7 +82,7 @@
     def _may_yield(self, run, priority):
         if not run.may_yield or run.state != workers.RUNNING:
             return False
-        if self._yielded.get(run.key, 0) >= preemption.YIELDS_MOST:
+        if self._yielded.get(run.key, 0) >= preemption.MAX_YIELDS:
             return False
         job = self._leader.state.jobs.get(run.key.job_id)
         if job is None or self._leader.queue_of(job).priority <= priority:
--- a/alderreach/ops/controller/requests.py
+++ b/alderreach/ops/controller/requests.py
@@ -238,7 +238,7 @@
         reply(done)
         return
     worker.record = record
-    leader.pools.worker_changed(worker.target_id)
+    leader.pools.on_worker_changed(worker.target_id)
     leader.decide(lambda: reply(done), targets=[record])
     leading.record(
         "worker_changed",
--- a/alderreach/ops/controller/running.py
+++ b/alderreach/ops/controller/running.py
@@ -47,7 +47,7 @@
     for run, target_id, born_ms in task.in_doubt:
         worker = leader.workers.get(target_id)
         if worker is not None and worker.record.born_ms == born_ms:
-            worker.vanished[(key, run)] = crashes.CRASHED_AT_START
+            worker.runs_in_doubt[(key, run)] = crashes.CRASHED_AT_START
 
 
 def _adopt(leader, key, task, step, now_ms):
@@ -57,7 +57,7 @@
         return
     run = workers.Run(key, task.run, step, now_ms)
     run.sends = 1
-    run.is_whole = False
+    run.is_fully_observed = False
     run.next_send_ms = None
     if run.best_effort:
         run.pace = None
--- a/alderreach/ops/controller/runs.py
+++ b/alderreach/ops/controller/runs.py
@@ -24,7 +24,7 @@
     run = workers.Run(key, run_number, step, now_ms, ticket)
     run.next_send_ms = None
     run.checkpoint = checkpoint
-    run.is_whole = not checkpoint
+    run.is_fully_observed = not checkpoint
     worker.add(run)
     record = worker.record
     placed = cell.RunPlaced(*key, run_number, record.target_id, record.born_ms)
@@ -59,7 +59,7 @@
 def end_run(leader, worker, run, how, checkpoint=""):
     """Record the end of a run and give its room back."""
     worker.remove(run)
-    leader.pools.gained_room(worker.target_id)
+    leader.pools.mark_freed(worker.target_id)
     key = run.key
     job = leader.state.jobs.get(key.job_id)
     if job is None:
@@ -131,7 +131,7 @@
 def strike(leader, worker, job_id):
     """Count a failure or stall against a worker."""
     everyone = list(leader.workers.values())
-    if health.strike(worker, job_id, everyone, leader.now_ms()):
+    if health.add_strike(worker, job_id, everyone, leader.now_ms()):
         leader.environment.record(
             "worker_out",
             target=worker.target_id,
@@ -162,7 +162,7 @@
         return False
     blame = cell_state.task_of(leader.state, key).blame + crashes.BLAME[how]
     leader.environment.metrics.count("crashes_under_runs", how)
-    if not crash_blame.is_too_much(blame):
+    if not crash_blame.reaches_blame_limit(blame):
         return False
     leader.environment.record("task_given_up", task=str(key), blame=blame)
     return True
@@ -174,7 +174,7 @@
         return
     job = leader.state.jobs[run.key.job_id]
     is_unwanted = run.state == workers.CLOSING or job.state != cell_state.ACTIVE
-    if is_unwanted or worker.offset_ms is None:
+    if is_unwanted or worker.clock_offset_ms is None:
         # Without a clock, since a new life began meanwhile, no lease can be named.
         end_run(leader, worker, run, "stopped")
         return
@@ -183,7 +183,7 @@
         str(run.key),
         run.run,
         job.record.spec,
-        worker.lease_until_ms(leader.lease_ms(), now_ms),
+        worker.grant_lease(leader.lease_ms(), now_ms),
         leader.epoch,
         run.checkpoint,
         run.ticket,
@@ -234,8 +234,8 @@
 def _judge(leader, worker, run, how):
     """What an end says of its worker, and of how long such tasks take."""
     if how == "done":
-        health.ended_well(worker)
-        whole_ms = health.whole_ms(run, leader.now_ms())
+        health.record_success(worker)
+        whole_ms = health.full_duration_ms(run, leader.now_ms())
         if whole_ms is not None:
             leader.durations.setdefault(run.key[:3], []).append(whole_ms)
     elif how == "failed":
--- a/alderreach/ops/controller/wait_reports.py
+++ b/alderreach/ops/controller/wait_reports.py
@@ -102,9 +102,12 @@
         granted = len(usable)
         if leader.queue_of(job).permission is not None:
             known = leader.permissions
-            unasked, denied = len(known.unasked(group, usable)), known.denied(group)
-            granted = known.granted(group, usable)
-        return waiting.Standing(
+            unasked, denied = (
+                len(known.not_yet_queried(group, usable)),
+                known.count_denied(group),
+            )
+            granted = known.count_permitted(group, usable)
+        return waiting.WaitState(
             waiting=sum(task.state == cell_state.WAITING for task in tasks),
             usable=len(usable),
             granted=granted,
@@ -112,7 +115,7 @@
             with_room=len(choice.candidates(pool, step, group, now_ms)),
             denied=denied,
             unasked=unasked,
-            is_asking=leader.permissions.is_asking(group),
+            is_asking=leader.permissions.has_open_query(group),
             is_gang=step.gang,
             is_partly_placed=any(task.state != cell_state.WAITING for task in tasks),
         )
--- a/alderreach/ops/controller/worker_lifecycle.py
+++ b/alderreach/ops/controller/worker_lifecycle.py
@@ -26,7 +26,7 @@
     """A heartbeat of a known life arrived."""
     worker.announced_ms = now_ms
     if clock_ms >= 0:
-        worker.note_clock(clock_ms, now_ms)
+        worker.update_clock_offset(clock_ms, now_ms)
 
 
 def new_life(leader, worker):
@@ -64,7 +64,7 @@
         if run.state == workers.ORDERED:
             runs.close_run(leader, worker, run)
         elif run.answered_ms <= sent_ms:
-            how = worker.former_ends.get((run.key, run.run), "lost")
+            how = worker.previous_ends.get((run.key, run.run), "lost")
             runs.end_run(leader, worker, run, how, run.checkpoint)
 
 
@@ -82,7 +82,7 @@
     for run in sent:
         how = ends.get((run.key, run.run), "lapsed")
         if how in crashes.BLAME and not worker.is_refusing:
-            worker.vanished[(run.key, run.run)] = how
+            worker.runs_in_doubt[(run.key, run.run)] = how
             how = crashes.EXPIRED
         runs.end_run(leader, worker, run, how, run.checkpoint)
 
@@ -126,12 +126,12 @@
 
 def watch(leader, worker, now_ms):
     """What silence and draining call for as time passes."""
-    if now_ms >= worker.lapses_ms:
+    if now_ms >= worker.lease_end_ms:
         expire_lease(leader, worker)
-    is_silent = worker.failures and now_ms - worker.heard_ms >= ABANDON_AFTER_MS
+    is_silent = worker.failures and now_ms - worker.last_contact_ms >= ABANDON_AFTER_MS
     if is_silent or worker.is_refusing:
         abandon(leader, worker)
-    is_draining = worker.record.state == "draining" and worker.shown
+    is_draining = worker.record.state == "draining" and worker.has_seen_epoch
     if is_draining and not worker.is_evacuated:
         evacuate(leader, worker, now_ms)
     worker.is_evacuated = is_draining
@@ -149,7 +149,7 @@
         if job is None or not run.sends:
             continue
         step = job.record.steps[run.key.step]
-        left_ms = health.left_ms(run, now_ms)
+        left_ms = health.remaining_ms(run, now_ms)
         is_done_soon = left_ms is not None and left_ms < DRAIN_LEAST_MS
         if step.long_running or (step.checkpointing and not is_done_soon):
             leader.environment.record(
@@ -163,8 +163,8 @@
 
 def forget_if_silent(leader, worker, now_ms):
     """Drop a worker on which nothing runs and that nobody heard of for long."""
-    silent_ms = now_ms - max(worker.announced_ms, worker.heard_ms)
-    patience_ms = DOUBTED_FOR_MS if worker.vanished else FORGOTTEN_AFTER_MS
+    silent_ms = now_ms - max(worker.announced_ms, worker.last_contact_ms)
+    patience_ms = DOUBTED_FOR_MS if worker.runs_in_doubt else FORGOTTEN_AFTER_MS
     if worker.runs or silent_ms <= patience_ms:
         return
     leader.environment.record("worker_forgotten", target=worker.target_id)
@@ -175,9 +175,9 @@
 
 def clear_vanished(leader, worker):
     """What vanished here did not crash it, or nobody will ever know."""
-    for key, run_number in worker.vanished:
+    for key, run_number in worker.runs_in_doubt:
         runs.settle(leader, key, run_number, "lost")
-    worker.vanished = {}
+    worker.runs_in_doubt = {}
 
 
 def _ends_of_runs(leader, worker):
@@ -187,23 +187,23 @@
         task = cell_state.task_of(leader.state, key)
         return task is not None and leader.starts_apart(task)
 
-    return crash_blame.ends_of(worker, leader.now_ms(), is_known)
+    return crash_blame.ends_after_crash(worker, leader.now_ms(), is_known)
 
 
 def _begin_life(leader, worker):
     """Keep how the runs of the life before ended, until its next list."""
     if not worker.awaits_list:
-        worker.former_ends = _ends_of_runs(leader, worker)
+        worker.previous_ends = _ends_of_runs(leader, worker)
     _settle_vanished(leader, worker)
-    worker.begin_life()
+    worker.begin_incarnation()
 
 
 def _settle_vanished(leader, worker):
     """This life is over: what vanished there ended with it, or crashed it."""
     is_planned = worker.is_planned_to_end()
-    for (key, run_number), how in worker.vanished.items():
+    for (key, run_number), how in worker.runs_in_doubt.items():
         runs.settle(leader, key, run_number, "lost" if is_planned else how)
-    worker.vanished = {}
+    worker.runs_in_doubt = {}
 
 
 def _record_end(leader, worker, event):
@@ -214,7 +214,7 @@
         target=worker.target_id,
         is_planned=is_planned,
         runs=len(worker.runs),
-        unheard_ms=leader.now_ms() - worker.heard_ms,
+        unheard_ms=leader.now_ms() - worker.last_contact_ms,
     )
     leader.environment.metrics.count("workers_ended", "planned" if is_planned else "")
 
--- a/alderreach/ops/controller/worker_polls.py
+++ b/alderreach/ops/controller/worker_polls.py
@@ -24,22 +24,26 @@
 
     The lease is extended only while the worker answers and its clock is known.
     """
-    if worker.poll_sent_ms is not None or worker.is_settling:
+    if worker.poll_sent_ms is not None or worker.is_recording_ends:
         return
     now_ms = leader.now_ms()
     until_ms = None
-    if worker.shown and worker.failures == 0 and worker.offset_ms is not None:
-        until_ms = worker.lease_until_ms(leader.lease_ms(), now_ms)
+    if (
+        worker.has_seen_epoch
+        and worker.failures == 0
+        and worker.clock_offset_ms is not None
+    ):
+        until_ms = worker.grant_lease(leader.lease_ms(), now_ms)
     is_urgent = (
         not worker.runs
-        or not worker.shown
+        or not worker.has_seen_epoch
         or worker.failures
         or any(run.state == workers.CLOSED for run in worker.runs.values())
     )
     longest_ms = leader.lease_ms() // POLLS_PER_LEASE
     wait_ms = 0 if is_urgent else min(wait_ms, longest_ms)
     worker.poll_sent_ms = worker.polled_ms = now_ms
-    worker.has_ends = False
+    worker.has_ends_to_acknowledge = False
     worker.poll = orders.Poll(leader.epoch, worker.cursor, until_ms, wait_ms)
     leader.links[worker.target_id].poll(worker.poll)
 
@@ -67,11 +71,11 @@
         worker.record = worker.record._replace(born_ms=result.born_ms)
         leader.decide(targets=[worker.record])
     worker_lifecycle.clear_vanished(leader, worker)
-    worker.note_clock(result.clock_ms, now_ms)
-    worker.heard_ms = now_ms
-    worker.note_answer(orders.OK, now_ms)
-    if not worker.shown:
-        worker.shown = True
+    worker.update_clock_offset(result.clock_ms, now_ms)
+    worker.last_contact_ms = now_ms
+    worker.record_call_outcome(orders.OK, now_ms)
+    if not worker.has_seen_epoch:
+        worker.has_seen_epoch = True
         leader.is_stale = True
     has_ends = _take_ends(leader, worker, result.ended)
     if worker.awaits_list:
@@ -81,8 +85,8 @@
     _move_on(leader, worker, now_ms)
     if has_ends:
         cursor = max(end.number for end in result.ended)
-        life = worker.life
-        worker.is_settling = True
+        life = worker.incarnation
+        worker.is_recording_ends = True
         leader.after_commit(lambda: _forget_ends(leader, worker, cursor, life))
     else:
         runs.poll_later(leader, worker, 0)
@@ -95,8 +99,8 @@
     there, only a poll brings that answer: heartbeats show that the worker is alive, not
     that it hears the leader.
     """
-    is_needed = worker.runs or worker.has_ends
-    wanted = is_needed or worker.failures or not worker.shown
+    is_needed = worker.runs or worker.has_ends_to_acknowledge
+    wanted = is_needed or worker.failures or not worker.has_seen_epoch
     due_ms = worker.poll_due_ms
     if worker.failures:
         due_ms = worker.polled_ms + POLL_AGAIN_MS
@@ -105,7 +109,7 @@
 
 
 def _poll_failed(leader, worker, result, now_ms):
-    worker.note_failure(now_ms)
+    worker.record_failed_call(now_ms)
     worker.is_refusing = result.outcome == orders.NOT_LISTENING
     if worker.failures == 1:
         leader.environment.record(
@@ -118,12 +122,12 @@
 
 def _forget_ends(leader, worker, cursor, life):
     """The ends up to ``cursor`` are durable here, so the worker may forget them."""
-    worker.is_settling = False
+    worker.is_recording_ends = False
     if leader.workers.get(worker.target_id) is not worker:
         return
-    if worker.life == life:
+    if worker.incarnation == life:
         worker.cursor = max(worker.cursor, cursor)
-        worker.has_ends = True
+        worker.has_ends_to_acknowledge = True
     runs.poll_later(leader, worker)
 
 
@@ -190,13 +194,13 @@
 
 def _note_progress(leader, worker, run, entry, now_ms):
     run.is_confirmed = True
-    worker.former_ends.pop((run.key, run.run), None)
+    worker.previous_ends.pop((run.key, run.run), None)
     if run.state == workers.ORDERED:
         run.state = workers.RUNNING
         run.next_send_ms = None
-        run.moved_ms = now_ms
+        run.last_progress_ms = now_ms
     if entry.percent != run.percent:
-        run.percent, run.moved_ms = entry.percent, now_ms
+        run.percent, run.last_progress_ms = entry.percent, now_ms
     if run.first_ms is None and entry.percent > 0:
         run.first_percent, run.first_ms = entry.percent, now_ms
     run.load = entry.load
@@ -214,7 +218,7 @@
     if run.state == workers.ORDERED and run.sends == 0:
         return
     if run.state == workers.CLOSED:
-        how = worker.former_ends.get((run.key, run.run), "stopped")
+        how = worker.previous_ends.get((run.key, run.run), "stopped")
         runs.end_run(leader, worker, run, how, run.checkpoint)
     elif run.state == workers.RUNNING or run.order is None:
         runs.close_run(leader, worker, run)
@@ -223,7 +227,7 @@
 def _pace(leader, worker, now_ms):
     if now_ms - worker.paced_ms < PACE_INTERVAL_MS:
         return
-    for run, share in pacing.changes(list(worker.runs.values())):
+    for run, share in pacing.share_changes(list(worker.runs.values())):
         worker.paced_ms = now_ms
         order = orders.Pace(str(run.key), run.run, share, leader.epoch)
         leader.links[worker.target_id].order(order)
@@ -244,13 +248,13 @@
     if not health.is_slow(list(ratios.values())):
         return
     for run, ratio in ratios.items():
-        if health.pays_to_move(run, ratio, leader.durations[run.key[:3]]):
+        if health.is_worth_moving(run, ratio, leader.durations[run.key[:3]]):
             _move(leader, worker, run, "slow", now_ms)
 
 
 def _move(leader, worker, run, reason, now_ms):
     moves = leader.moves.get(run.key, 0)
-    if moves >= health.MOVES_MOST:
+    if moves >= health.MAX_MOVES:
         return
     leader.moves[run.key] = moves + 1
     leader.environment.record(
@@ -260,7 +264,7 @@
         target=worker.target_id,
         reason=reason,
         percent=run.percent,
-        still_ms=now_ms - run.moved_ms,
+        still_ms=now_ms - run.last_progress_ms,
     )
     runs.strike(leader, worker, run.key.job_id)
     runs.close_run(leader, worker, run)
