--- a/alderreach/decisions/cell/health.py
+++ b/alderreach/decisions/cell/health.py
@@ -140,7 +140,8 @@
     """How many times as long as its done siblings a run takes, or None if unknown.
 
     >>> class Run:
-    ...     first_percent, first_ms, percent, last_progress_ms, pace = 2, 0, 14, 1200, 100
+    ...     first_percent, first_ms, pace = 2, 0, 100
+    ...     percent, last_progress_ms = 14, 1200
     >>> slowness(Run, [1000, 1200, 900])
     10.0
     """
