--- a/alderreach/decisions/cell/choice.py
+++ b/alderreach/decisions/cell/choice.py
@@ -17,19 +17,19 @@
 
 # Costs are shares of a worker, below 1; these are above every such cost, so that the
 # domain, the data's rack and a worker without serving tasks go before any better fit.
-OTHER_DOMAIN = 2.0
-FAR_FROM_DATA = 10.0
-BESIDE_SERVING = 100.0
+OTHER_DOMAIN_COST = 2.0
+REMOTE_DATA_COST = 10.0
+BESIDE_SERVING_COST = 100.0
 # A worker that failed something lately, or failed this very task, is the last choice.
-STRUCK = 1000.0
+STRIKE_COST = 1000.0
 
 
 def candidates(workers, step, group, now_ms):
     """Workers on which one more task of a step could start now."""
-    return [worker for worker in workers if may_run(worker, step, group, now_ms)]
+    return [worker for worker in workers if can_start(worker, step, group, now_ms)]
 
 
-def may_run(worker, step, group, now_ms):
+def can_start(worker, step, group, now_ms):
     """Whether one more task of a step could start on a worker."""
     return (
         worker.is_usable(now_ms)
@@ -73,31 +73,31 @@
         ``is_crowded(worker)`` holds are the last choice. One that still has an older
         run of the task is passed over.
         """
-        passed = []
+        skipped = []
         found = None
         while self._rows and found is None:
             row = heapq.heappop(self._rows)
             if row[1] == avoided or key in row[2].runs or is_crowded(row[2]):
-                passed.append(row)
+                skipped.append(row)
             else:
                 found = row
         if found is None:
-            found = next((row for row in passed if key not in row[2].runs), None)
-        for row in passed:
+            found = next((row for row in skipped if key not in row[2].runs), None)
+        for row in skipped:
             if row is not found:
                 heapq.heappush(self._rows, row)
         return found[2] if found else None
 
     def requeue(self, worker, now_ms):
         """Rank a worker again that has taken a task, if it may take another."""
-        if may_run(worker, self._step, self._group, now_ms):
+        if can_start(worker, self._step, self._group, now_ms):
             heapq.heappush(self._rows, self._row(worker))
 
     def _row(self, worker):
         cost = _cost(worker, self._step)
         is_outside = self._domains and worker.record.failure_domain not in self._domains
         if is_outside and not self._step.best_effort:
-            cost += OTHER_DOMAIN
+            cost += OTHER_DOMAIN_COST
         return cost, worker.target_id, worker
 
 
@@ -110,10 +110,10 @@
     """
     if used:
         return used
-    room = collections.Counter()
+    fit_counts = collections.Counter()
     for worker in workers:
-        room[worker.record.failure_domain] += _copies(worker, step, group)
-    for domain, fits in room.most_common(1):
+        fit_counts[worker.record.failure_domain] += _fit_count(worker, step, group)
+    for domain, fits in fit_counts.most_common(1):
         return {domain} if fits >= wanted else ()
     return ()
 
@@ -140,14 +140,14 @@
     plan = []
     ranked = sorted(workers, key=lambda w: (_cost(w, step), w.target_id))
     for worker in ranked:
-        fits = min(_copies(worker, step, group), wanted - len(plan))
+        fits = min(_fit_count(worker, step, group), wanted - len(plan))
         plan += [worker] * fits
         if len(plan) == wanted:
             return plan
     return None
 
 
-def _copies(worker, step, group):
+def _fit_count(worker, step, group):
     """How many tasks of a step fit on a worker."""
     free, demand = worker.free(), step.demand
     limits = []
@@ -163,11 +163,11 @@
 
 
 def _cost(worker, step):
-    struck = STRUCK * len(worker.health.strikes)
+    strike_cost = STRIKE_COST * len(worker.health.strikes)
     if step.best_effort:
-        return struck + _best_effort_cost(worker)
-    far = step.data_rack and worker.rack != step.data_rack
-    return struck + (FAR_FROM_DATA if far else 0.0) + _left(worker, step)
+        return strike_cost + _best_effort_cost(worker)
+    is_remote = step.data_rack and worker.rack != step.data_rack
+    return strike_cost + (REMOTE_DATA_COST if is_remote else 0.0) + _left(worker, step)
 
 
 def _left(worker, step):
@@ -186,4 +186,4 @@
         if run.best_effort:
             idle -= run.demand.cpu_millis
     idle_share = idle / max(1, worker.record.capacity.cpu_millis)
-    return (BESIDE_SERVING if serving else 0.0) - idle_share
+    return (BESIDE_SERVING_COST if serving else 0.0) - idle_share
--- a/alderreach/decisions/cell/crash_blame.py
+++ b/alderreach/decisions/cell/crash_blame.py
@@ -47,33 +47,37 @@
     return blame >= BLAME_LIMIT
 
 
-def ends_after_crash(worker, now_ms, is_known=lambda key: False):
+def ends_after_crash(worker, now_ms, is_known_suspect=lambda key: False):
     """How each run on a worker ended that is found gone, by (key, number of the run).
 
     Runs that the worker never heard of are left out, since they have not been there. So
     are all others if one was fresh whose task ``is_known(key)`` to be a suspect: it
     explains the crash.
     """
-    there = [
+    present = [
         run
         for run in worker.runs.values()
         if run.sends and run.state != workers.CLOSED and not worker.is_planned_to_end()
     ]
-    lost_ms = now_ms if worker.failed_ms is None else worker.failed_ms
-    is_polled = len(there) > 1
-    fresh = [run for run in there if _was_fresh(run, worker, is_polled, lost_ms)]
-    known = [run for run in fresh if is_known(run.key)]
+    lost_ms = now_ms if worker.first_failure_ms is None else worker.first_failure_ms
+    is_polled = len(present) > 1
+    fresh = [run for run in present if _was_fresh(run, worker, is_polled, lost_ms)]
+    suspects = [run for run in fresh if is_known_suspect(run.key)]
     ends = {}
-    for run in known or there:
+    for run in suspects or present:
         if lost_ms - run.placed_ms > YOUNG_MS:
             continue
-        how = crashes.WORKER_CRASHED
+        end_kind = crashes.WORKER_CRASHED
         if run in fresh:
-            is_sure = len(fresh) == 1 and (
+            is_certain = len(fresh) == 1 and (
                 run.is_confirmed or run.lost_connection_at_start
             )
-            how = crashes.CRASHED_AT_LONE_START if is_sure else crashes.CRASHED_AT_START
-        ends[(run.key, run.run)] = how
+            end_kind = (
+                crashes.CRASHED_AT_LONE_START
+                if is_certain
+                else crashes.CRASHED_AT_START
+            )
+        ends[(run.key, run.run)] = end_kind
     return ends
 
 
@@ -93,5 +97,5 @@
         return False
     if run.is_confirmed:
         return lost_ms - run.placed_ms < FRESH_MS
-    was_heard = run.placed_ms - worker.last_contact_ms < FRESH_MS
-    return run.lost_connection_at_start or was_heard or not is_polled
+    had_contact = run.placed_ms - worker.last_contact_ms < FRESH_MS
+    return run.lost_connection_at_start or had_contact or not is_polled
--- a/alderreach/decisions/cell/health.py
+++ b/alderreach/decisions/cell/health.py
@@ -29,23 +29,23 @@
 STRIKES_OUT = 2
 # The usual trouble of a worker lasts some seconds; a healthy one loses little by this.
 FIRST_OUT_MS = 3000
-LONGEST_OUT_MS = 30_000
-OUT_SHARE = 0.34
+MAX_OUT_MS = 30_000
+MAX_OUT_SHARE = 0.34
 # More broken jobs than fail on one worker at a time.
-EXCUSED_KEPT = 16
+MAX_EXCUSED_JOBS = 16
 STALL_MS = 1800
 SLOW_RATIO = 3.0
-LONE_RATIO = 5.0
+SINGLE_RUN_SLOW_RATIO = 5.0
 # Below this share of done siblings their durations say little of the step's.
-SIBLINGS_LEAST = 2
+MIN_SIBLINGS = 2
 # What moving a run costs beside doing the work again: a stop, a commit, a start.
 MOVE_COST_MS = 800
 # A task moved this often is left where it is: its progress may just not show.
 MAX_MOVES = 2
 # Less progress between two polls than this is too rough to project from, unless this
 # much time has passed.
-GAINED_LEAST = 10
-WATCHED_LEAST_MS = 1500
+MIN_PROGRESS_PERCENT = 10
+MIN_OBSERVED_MS = 1500
 
 
 class Record:
@@ -61,7 +61,7 @@
 
     def __init__(self):
         self.strikes = set()
-        self.excused = collections.deque(maxlen=EXCUSED_KEPT)
+        self.excused = collections.deque(maxlen=MAX_EXCUSED_JOBS)
         self.out_until_ms = 0
         self.out_ms = FIRST_OUT_MS
 
@@ -90,10 +90,10 @@
     others_out = sum(
         peer is not worker and now_ms < peer.health.out_until_ms for peer in peers
     )
-    if others_out + 1 > OUT_SHARE * len(peers):
+    if others_out + 1 > MAX_OUT_SHARE * len(peers):
         return False
     record.out_until_ms = now_ms + record.out_ms
-    record.out_ms = min(2 * record.out_ms, LONGEST_OUT_MS)
+    record.out_ms = min(2 * record.out_ms, MAX_OUT_MS)
     # One more failure after its return takes it out again.
     record.strikes = {job_id}
     return True
@@ -106,12 +106,12 @@
     """
     if any(job_id in peer.health.excused for peer in peers):
         return True
-    blamed = [w for w in peers if w is not worker and job_id in w.health.strikes]
-    for other in blamed:
+    others = [w for w in peers if w is not worker and job_id in w.health.strikes]
+    for other in others:
         other.health.strikes.discard(job_id)
         other.health.excused.append(job_id)
         other.health.out_until_ms = 0
-    return bool(blamed)
+    return bool(others)
 
 
 def full_duration_ms(run, now_ms):
@@ -122,7 +122,7 @@
     """
     if run.is_fully_observed:
         return now_ms - run.placed_ms
-    if run.first_ms is None or 100 - run.first_percent < GAINED_LEAST:
+    if run.first_ms is None or 100 - run.first_percent < MIN_PROGRESS_PERCENT:
         return None
     return (now_ms - run.first_ms) * 100 / (100 - run.first_percent)
 
@@ -145,36 +145,40 @@
     >>> slowness(Run, [1000, 1200, 900])
     10.0
     """
-    if len(durations_ms) < SIBLINGS_LEAST or run.first_ms is None or run.pace != 100:
+    if len(durations_ms) < MIN_SIBLINGS or run.first_ms is None or run.pace != 100:
         return None
-    gained, watched_ms = (
+    progress, observed_ms = (
         run.percent - run.first_percent,
         run.last_progress_ms - run.first_ms,
     )
-    if gained <= 0 or (gained < GAINED_LEAST and watched_ms < WATCHED_LEAST_MS):
+    if progress <= 0 or (
+        progress < MIN_PROGRESS_PERCENT and observed_ms < MIN_OBSERVED_MS
+    ):
         return None
     # A run may be done in the millisecond in which it was first seen to have begun.
     usual_ms = max(1, statistics.median(durations_ms))
-    return watched_ms * 100 / gained / usual_ms
+    return observed_ms * 100 / progress / usual_ms
 
 
 def remaining_ms(run, now_ms):
     """How long a run will still take by its pace, or None if that is not known."""
     if run.first_ms is None or run.pace != 100:
         return None
-    gained, watched_ms = (
+    progress, observed_ms = (
         run.percent - run.first_percent,
         run.last_progress_ms - run.first_ms,
     )
-    if gained <= 0:
+    if progress <= 0:
         return None
-    return watched_ms * (100 - run.percent) / gained - (now_ms - run.last_progress_ms)
+    return observed_ms * (100 - run.percent) / progress - (
+        now_ms - run.last_progress_ms
+    )
 
 
 def is_slow(ratios):
     """Whether a worker is slow, by the slowness of those of its runs that have one."""
     if len(ratios) == 1:
-        return ratios[0] >= LONE_RATIO
+        return ratios[0] >= SINGLE_RUN_SLOW_RATIO
     return bool(ratios) and statistics.median(ratios) >= SLOW_RATIO
 
 
--- a/alderreach/decisions/cell/pacing.py
+++ b/alderreach/decisions/cell/pacing.py
@@ -9,12 +9,12 @@
 Two reports at least lie between two changes, so that each shows its effect first.
 """
 
-HIGH = 0.85
-LOW = 0.6
-STEP = 25
-FULL = 100
+HIGH_RATIO = 0.85
+LOW_RATIO = 0.6
+SHARE_INCREASE = 25
+FULL_SHARE = 100
 # A share below this is worth less than the disturbance it may bring.
-LEAST = 13
+MIN_SHARE = 13
 
 
 def next_share(share, ratio):
@@ -25,10 +25,10 @@
     """
     if ratio > 1.0:
         return 0
-    if ratio > HIGH:
-        return share // 2 if share // 2 >= LEAST else 0
-    if ratio < LOW:
-        return min(FULL, share + STEP)
+    if ratio > HIGH_RATIO:
+        return share // 2 if share // 2 >= MIN_SHARE else 0
+    if ratio < LOW_RATIO:
+        return min(FULL_SHARE, share + SHARE_INCREASE)
     return share
 
 
@@ -51,7 +51,7 @@
     wanted = []
     for run in runs:
         if run.best_effort and not run.tail_target_ms:
-            share = next_share(FULL if run.pace is None else run.pace, ratio)
+            share = next_share(FULL_SHARE if run.pace is None else run.pace, ratio)
             if share != run.pace:
                 wanted.append((run, share))
     return wanted
--- a/alderreach/decisions/cell/permissions.py
+++ b/alderreach/decisions/cell/permissions.py
@@ -14,14 +14,14 @@
 that nobody asked about in the same question.
 
 >>> from alderreach.core.generated import cell
->>> made, rule = Permissions(), cell.PermissionRule(20, 0.2, 2000)
->>> question = made.ask("g", ["w1", "w2"], rule, ["helper"], now_ms=0)
+>>> known, rule = Permissions(), cell.PermissionRule(20, 0.2, 2000)
+>>> query = known.ask("g", ["w1", "w2"], rule, ["helper"], now_ms=0)
 >>> tickets = [cell.Ticket("w1", "t1")]
->>> _ = made.on_answer(question.query_id, True, tickets, rule, now_ms=20)
->>> made.workers_to_query("g", ["w1", "w2", "w3"], 4, SAFETY_MS, now_ms=30)
+>>> _ = known.on_answer(query.query_id, True, tickets, rule, now_ms=20)
+>>> known.workers_to_query("g", ["w1", "w2", "w3"], 4, TICKET_MARGIN_MS, now_ms=30)
 []
->>> made.record_shortage("g")
->>> made.workers_to_query("g", ["w1", "w2", "w3"], 4, SAFETY_MS, now_ms=30)
+>>> known.record_shortage("g")
+>>> known.workers_to_query("g", ["w1", "w2", "w3"], 4, TICKET_MARGIN_MS, now_ms=30)
 ['w3']
 """
 
@@ -29,30 +29,30 @@
 import typing
 
 # A start needs a synced log entry and a call before its ticket runs out.
-SAFETY_MS = 200
+TICKET_MARGIN_MS = 200
 # The longest list of workers in one question. Longer ones take longer to decide, and
 # a third or more of the workers are usually let run a step.
 MAX_NEW_PER_QUERY = 30
 # The permission service takes no question that names more workers; one that did would
 # be put again and again, and its step never placed.
-LONGEST_QUESTION = 100
+MAX_QUERY_WORKERS = 100
 # A renewal names this many workers for each task that still waits, so that two of
 # three may be full.
-RENEWED_PER_TASK = 3
+RENEWALS_PER_TASK = 3
 # Workers in one renewal at the least; room moves while the question is decided.
-RENEWED_AT_LEAST = 4
+MIN_RENEWALS = 4
 # Helpers kept for questions that are decided this many times faster.
 QUICK_SHARE = 0.34
-QUICKER = 4
+QUICK_RATIO = 4
 # Tickets are renewed early only while this share of the helpers is idle.
 IDLE_SHARE = 0.5
 # A question without an answer is asked elsewhere after this and twice its due time.
 ANSWER_SLACK_MS = 400
 # A step for which there was nothing to ask is looked at again after this at the
 # soonest: a worker that comes or recovers meanwhile is asked about that much later.
-NOTHING_TO_ASK_MS = 50
+NOTHING_TO_ASK_PAUSE_MS = 50
 # A step that found no idle helper tries again after this.
-NO_HELPER_MS = 20
+NO_HELPER_RETRY_MS = 20
 
 
 class Query(typing.NamedTuple):
@@ -65,7 +65,7 @@
     due_ms: int
 
 
-class _Answers:
+class _GroupAnswers:
     """What is known of one group: tickets by worker, and who was turned down.
 
     ``is_short`` says that workers with good tickets had too little room for it. After
@@ -74,19 +74,19 @@
     """
 
     __slots__ = (
-        "asking",
         "denied",
         "early_check_ms",
-        "is_short",
+        "has_shortage",
         "next_check_ms",
+        "open_query",
         "tickets",
     )
 
     def __init__(self):
         self.tickets = {}
         self.denied = set()
-        self.asking = None
-        self.is_short = False
+        self.open_query = None
+        self.has_shortage = False
         self.check_at_once()
 
     def check_at_once(self):
@@ -98,7 +98,7 @@
         later = [until for _ticket, until in self.tickets.values() if until > after_ms]
         return min(later, default=math.inf)
 
-    def fresh(self, ahead_ms, now_ms):
+    def fresh_ids(self, ahead_ms, now_ms):
         """Workers whose tickets last longer than ``ahead_ms`` from now."""
         return [
             target_id
@@ -112,7 +112,7 @@
 
     def __init__(self):
         self._groups = {}
-        self._questions = {}
+        self._queries = {}
         self._busy = {}
         self._failed_ms = {}
         self._serial = 0
@@ -123,19 +123,19 @@
         if answers is None:
             return None
         ticket, until_ms = answers.tickets.get(target_id, ("", 0))
-        return ticket if until_ms - now_ms >= SAFETY_MS else None
+        return ticket if until_ms - now_ms >= TICKET_MARGIN_MS else None
 
     def has_open_query(self, group):
         """Whether a question for this group is on its way."""
         answers = self._groups.get(group)
-        return answers is not None and answers.asking is not None
+        return answers is not None and answers.open_query is not None
 
     def permitted_ids(self, group, now_ms):
         """Ids of workers with a ticket that is good for a start now."""
         answers = self._groups.get(group)
         if answers is None:
             return []
-        return answers.fresh(SAFETY_MS - 1, now_ms)
+        return answers.fresh_ids(TICKET_MARGIN_MS - 1, now_ms)
 
     def record_shortage(self, group):
         """Workers with good tickets had too little room for what waits of a group.
@@ -143,15 +143,15 @@
         A pause that was made while it was not short says nothing of what it needs now.
         """
         answers = self._groups.get(group)
-        if answers is not None and not answers.is_short:
-            answers.is_short = True
+        if answers is not None and not answers.has_shortage:
+            answers.has_shortage = True
             answers.check_at_once()
 
     def clear_shortage(self, group):
         """Nothing of a group waits any more."""
         answers = self._groups.get(group)
         if answers is not None:
-            answers.is_short = False
+            answers.has_shortage = False
 
     def renewal_lead_ms(self, rule, tasks, helpers):
         """How long before its tickets run out a step that waits has them renewed.
@@ -162,7 +162,7 @@
         """
         idle = sum(helper not in self._busy for helper in helpers)
         if idle < IDLE_SHARE * len(helpers):
-            return SAFETY_MS
+            return TICKET_MARGIN_MS
         return max_renewal_lead_ms(rule, tasks)
 
     def may_ask(self, group, now_ms):
@@ -174,16 +174,16 @@
         answers = self._groups.get(group)
         if answers is None:
             return True
-        return answers.asking is None and now_ms >= answers.next_check_ms
+        return answers.open_query is None and now_ms >= answers.next_check_ms
 
     def next_check_ms(self, group, now_ms):
         """When a step that waits should be looked at for something to ask."""
         answers = self._groups.get(group)
         if answers is None:
-            return now_ms + NO_HELPER_MS
-        if answers.asking is not None:
-            return answers.asking.due_ms + 1
-        return max(answers.next_check_ms, now_ms + NO_HELPER_MS)
+            return now_ms + NO_HELPER_RETRY_MS
+        if answers.open_query is not None:
+            return answers.open_query.due_ms + 1
+        return max(answers.next_check_ms, now_ms + NO_HELPER_RETRY_MS)
 
     def may_ask_ahead(self, group, tasks, ahead_ms, now_ms):
         """As ``may_ask``, for a step that is yet to open: not with tickets enough.
@@ -196,10 +196,10 @@
         answers = self._groups.get(group)
         if answers is None:
             return True
-        fresh = len(answers.fresh(ahead_ms, now_ms))
-        return not fresh or fresh < min(_enough(tasks), len(answers.tickets))
+        fresh = len(answers.fresh_ids(ahead_ms, now_ms))
+        return not fresh or fresh < min(_enough_workers(tasks), len(answers.tickets))
 
-    def pause_checks(self, group, now_ms, ahead_ms=SAFETY_MS, workers_version=0):
+    def pause_checks(self, group, now_ms, ahead_ms=TICKET_MARGIN_MS, workers_version=0):
         """There was nobody to ask about; not worth working out again for a while.
 
         It is again once a ticket has less than ``ahead_ms`` left, the most by which one
@@ -207,8 +207,8 @@
         """
         answers = self._groups.get(group)
         if answers is not None:
-            answers.early_check_ms = now_ms + NOTHING_TO_ASK_MS
-            expiry_ms = answers.next_expiry_ms(now_ms + SAFETY_MS)
+            answers.early_check_ms = now_ms + NOTHING_TO_ASK_PAUSE_MS
+            expiry_ms = answers.next_expiry_ms(now_ms + TICKET_MARGIN_MS)
             answers.next_check_ms = max(answers.early_check_ms, expiry_ms - ahead_ms)
 
     def on_workers_changed(self, appeared, gone):
@@ -240,20 +240,20 @@
         A gang needs all its tickets at one time, so the renewal of a gang that is short
         names all its permitted workers.
         """
-        answers = self._groups.setdefault(group, _Answers())
-        if answers.asking is not None:
+        answers = self._groups.setdefault(group, _GroupAnswers())
+        if answers.open_query is not None:
             return []
         new = []
-        if answers.is_short or not any(t in answers.tickets for t in suitable):
+        if answers.has_shortage or not any(t in answers.tickets for t in suitable):
             new = self.not_yet_queried(group, suitable)[:MAX_NEW_PER_QUERY]
         stale = _to_renew(answers, suitable, tasks, ahead_ms, now_ms)
-        if stale and is_gang and answers.is_short:
+        if stale and is_gang and answers.has_shortage:
             stale = [t for t in suitable if t in answers.tickets]
-        return [*stale[: LONGEST_QUESTION - len(new)], *new]
+        return [*stale[: MAX_QUERY_WORKERS - len(new)], *new]
 
     def not_yet_queried(self, group, suitable):
         """Those of some workers that nobody asked about yet."""
-        answers = self._groups.setdefault(group, _Answers())
+        answers = self._groups.setdefault(group, _GroupAnswers())
         return [
             target_id
             for target_id in suitable
@@ -285,7 +285,7 @@
         and not with the permission service.
         """
         idle = [helper for helper in helpers if helper not in self._busy]
-        if len(idle) <= _kept_idle(rule, helpers, quickest_ms):
+        if len(idle) <= _reserved_helpers(rule, helpers, quickest_ms):
             return None
         return min(idle, key=lambda helper: self._failed_ms.get(helper, 0))
 
@@ -296,35 +296,35 @@
             return None
         self._serial += 1
         due_ms = now_ms + 2 * _decision_ms(rule, target_ids) + ANSWER_SLACK_MS
-        question = Query(str(self._serial), group, target_ids, helper, due_ms)
-        self._questions[question.query_id] = question
-        self._busy[helper] = question
-        self._groups.setdefault(group, _Answers()).asking = question
-        return question
+        query = Query(str(self._serial), group, target_ids, helper, due_ms)
+        self._queries[query.query_id] = query
+        self._busy[helper] = query
+        self._groups.setdefault(group, _GroupAnswers()).open_query = query
+        return query
 
     def find(self, query_id):
         """The question with this id, or None if it was given up."""
-        return self._questions.get(query_id)
+        return self._queries.get(query_id)
 
     def on_answer(self, query_id, is_decided, granted, rule, now_ms):
         """Note an answer; returns its question, or None for one given up on."""
-        question = self._questions.get(query_id)
-        if question is None:
+        query = self._queries.get(query_id)
+        if query is None:
             return None
-        self._end(question)
+        self._close_query(query)
         if is_decided:
-            self._failed_ms.pop(question.helper, None)
+            self._failed_ms.pop(query.helper, None)
         else:
-            self._failed_ms[question.helper] = now_ms
-        answers = self._groups.get(question.group)
+            self._failed_ms[query.helper] = now_ms
+        answers = self._groups.get(query.group)
         if answers is None or not is_decided:
-            return question
+            return query
         until_ms = now_ms + rule.valid_ms
         for ticket in granted:
             answers.tickets[ticket.target_id] = (ticket.ticket, until_ms)
-        answers.denied.update(set(question.target_ids) - answers.tickets.keys())
+        answers.denied.update(set(query.target_ids) - answers.tickets.keys())
         answers.check_at_once()
-        return question
+        return query
 
     def invalidate_ticket(self, group, target_id):
         """A worker did not take a ticket: it is too old, or from another life."""
@@ -344,18 +344,18 @@
 
     def give_up_overdue(self, now_ms):
         """Free what waits for helpers that don't answer; returns their names."""
-        overdue = [q for q in self._questions.values() if now_ms >= q.due_ms]
-        for question in overdue:
-            self._failed_ms[question.helper] = now_ms
-            self._end(question)
-        return [question.helper for question in overdue]
+        overdue = [q for q in self._queries.values() if now_ms >= q.due_ms]
+        for query in overdue:
+            self._failed_ms[query.helper] = now_ms
+            self._close_query(query)
+        return [query.helper for query in overdue]
 
-    def _end(self, question):
-        del self._questions[question.query_id]
-        self._busy.pop(question.helper, None)
-        answers = self._groups.get(question.group)
-        if answers is not None and answers.asking is question:
-            answers.asking = None
+    def _close_query(self, query):
+        del self._queries[query.query_id]
+        self._busy.pop(query.helper, None)
+        answers = self._groups.get(query.group)
+        if answers is not None and answers.open_query is query:
+            answers.open_query = None
 
 
 def _to_renew(answers, suitable, tasks, ahead_ms, now_ms):
@@ -367,29 +367,29 @@
     good = [t for t in suitable if t in answers.tickets]
     stale = [t for t in good if answers.tickets[t][1] - now_ms <= ahead_ms]
     fresh = len(good) - len(stale)
-    if not answers.is_short and fresh >= min(_enough(tasks), len(good)):
+    if not answers.has_shortage and fresh >= min(_enough_workers(tasks), len(good)):
         return []
-    return stale[: _enough(tasks)]
+    return stale[: _enough_workers(tasks)]
 
 
-def _enough(tasks):
+def _enough_workers(tasks):
     """How many workers with tickets are enough for so many waiting tasks."""
-    return max(RENEWED_AT_LEAST, RENEWED_PER_TASK * tasks)
+    return max(MIN_RENEWALS, RENEWALS_PER_TASK * tasks)
 
 
 def max_renewal_lead_ms(rule, tasks):
     """The earliest that tickets are renewed before they run out."""
-    return SAFETY_MS + lead_ms(rule, _enough(tasks))
+    return TICKET_MARGIN_MS + lead_ms(rule, _enough_workers(tasks))
 
 
 def lead_ms(rule, asked):
     """How long ahead a question about so many workers has to be asked."""
-    return math.ceil(rule.decision_ms + rule.per_target_ms * asked) + SAFETY_MS
+    return math.ceil(rule.decision_ms + rule.per_target_ms * asked) + TICKET_MARGIN_MS
 
 
-def _kept_idle(rule, helpers, quickest_ms):
+def _reserved_helpers(rule, helpers, quickest_ms):
     """How many helpers a question must leave idle for quicker ones."""
-    if quickest_ms is None or rule.decision_ms < QUICKER * max(1, quickest_ms):
+    if quickest_ms is None or rule.decision_ms < QUICK_RATIO * max(1, quickest_ms):
         return 0
     return int(QUICK_SHARE * len(helpers))
 
--- a/alderreach/decisions/cell/pools.py
+++ b/alderreach/decisions/cell/pools.py
@@ -20,12 +20,12 @@
         self._workers = workers
         self._usable = {}
         self._ids = set()
-        self._gained = {}
+        self._freed = {}
         self._due_ms = 0
 
     def mark_freed(self, target_id):
         """A run has left a worker, or the worker is larger than before."""
-        self._gained[target_id] = None
+        self._freed[target_id] = None
 
     def on_worker_changed(self, target_id):
         """A worker's record is another one, or the worker is gone."""
@@ -47,13 +47,13 @@
             if worker.is_usable(now_ms):
                 by_service[worker.record.service].append(worker)
                 ids.add(target_id)
-        appeared, gone = ids - self._ids, self._ids - ids
-        self._gained.update(dict.fromkeys(sorted(appeared)))
+        appeared, disappeared = ids - self._ids, self._ids - ids
+        self._freed.update(dict.fromkeys(sorted(appeared)))
         self._ids = ids
         for pool in by_service.values():
             pool.sort(key=_negative_free_millis)
         self._usable = by_service
-        return appeared, gone
+        return appeared, disappeared
 
     def usable(self, service):
         """Usable workers of a service, roughly those with most processors free first.
@@ -74,10 +74,10 @@
 
     def pop_freed(self):
         """Usable workers that have gained room since the last call."""
-        gained, self._gained = self._gained, {}
+        freed, self._freed = self._freed, {}
         return [
             self._workers[name]
-            for name in gained
+            for name in freed
             if name in self._ids and name in self._workers
         ]
 
--- a/alderreach/decisions/cell/preemption.py
+++ b/alderreach/decisions/cell/preemption.py
@@ -27,7 +27,7 @@
 YIELD_COST_MS = 1500
 # Often enough for two bursts in a long task's life; never without end.
 MAX_YIELDS = 2
-NOTHING = common.Resources(0, 0, 0)
+NO_RESOURCES = common.Resources(0, 0, 0)
 
 
 class Victims(typing.NamedTuple):
@@ -54,7 +54,7 @@
         allowed = wanted
         if step.max_per_target:
             allowed = min(wanted, step.max_per_target - worker.count_of(group))
-        victims = _cheapest(worker, step, may_yield) if allowed > 0 else None
+        victims = _cheapest_victims(worker, step, may_yield) if allowed > 0 else None
         if victims is not None:
             fitting = min(victims.fitting, allowed)
             cost = _share_stopped(victims) / fitting
@@ -72,33 +72,33 @@
 def _share_stopped(victims):
     """The share of a worker's scarcest resource that the victims take up."""
     capacity = victims.worker.record.capacity
-    stopped = _sum((NOTHING, *(run.demand for run in victims.runs)))
+    stopped = _total((NO_RESOURCES, *(run.demand for run in victims.runs)))
     return max(
         part / max(1, whole) for part, whole in zip(stopped, capacity, strict=True)
     )
 
 
-def _cheapest(worker, step, may_yield):
+def _cheapest_victims(worker, step, may_yield):
     """The fewest runs after which a task fits on a worker; None if it never does."""
     demand = step.demand
     closing = [run.demand for run in worker.runs.values() if run.is_closing()]
-    free = _sum((worker.free(), *closing))
+    free = _total((worker.free(), *closing))
     candidates = [run for run in worker.runs.values() if may_yield(run)]
     candidates.sort(key=lambda run: (run.demand, str(run.key)))
     chosen = []
     while any(_missing(free, demand)):
-        useful = [run for run in candidates if _helps(run, free, demand)]
+        useful = [run for run in candidates if _frees_missing(run, free, demand)]
         if not useful:
             return None
-        run = _next(useful, _missing(free, demand))
+        run = _pick(useful, _missing(free, demand))
         candidates.remove(run)
         chosen.append(run)
-        free = _sum((free, run.demand))
-    chosen, free = _spare(chosen, free, demand)
-    return Victims(worker, chosen, _copies(free, demand))
+        free = _total((free, run.demand))
+    chosen, free = _drop_unneeded(chosen, free, demand)
+    return Victims(worker, chosen, _fit_count(free, demand))
 
 
-def _spare(chosen, free, demand):
+def _drop_unneeded(chosen, free, demand):
     """Leave out runs, the largest first, without which the demand fits as well.
 
     A run that was taken for one resource may have become needless by one that was taken
@@ -112,13 +112,13 @@
     return chosen, free
 
 
-def _helps(run, free, demand):
+def _frees_missing(run, free, demand):
     """Whether a run holds some of what is missing."""
     missing = _missing(free, demand)
     return any(lacks and held for lacks, held in zip(missing, run.demand, strict=True))
 
 
-def _next(candidates, missing):
+def _pick(candidates, missing):
     """The smallest run that gives all that is missing, or else the largest."""
     for run in candidates:
         if all(held >= lacks for held, lacks in zip(run.demand, missing, strict=True)):
@@ -128,16 +128,21 @@
 
 def _missing(free, demand):
     """What has to be freed of each resource."""
-    return [max(0, wanted - there) for wanted, there in zip(demand, free, strict=True)]
+    return [
+        max(0, wanted - available)
+        for wanted, available in zip(demand, free, strict=True)
+    ]
 
 
-def _sum(parts):
+def _total(parts):
     return common.Resources(*(sum(kind) for kind in zip(*parts, strict=True)))
 
 
-def _copies(free, demand):
+def _fit_count(free, demand):
     """How many times a demand fits into what is free; once at the least."""
     limits = [
-        there // wanted for there, wanted in zip(free, demand, strict=True) if wanted
+        available // wanted
+        for available, wanted in zip(free, demand, strict=True)
+        if wanted
     ]
     return max(1, min(limits, default=1))
--- a/alderreach/decisions/cell/workers.py
+++ b/alderreach/decisions/cell/workers.py
@@ -30,9 +30,9 @@
 SILENT_AFTER_MS = 4000
 # An answer's clock is older than its arrival by the call's time limit and some
 # queueing; a clock that is further behind than this is that of another life.
-OTHER_LIFE_BEHIND_MS = 3000
+MAX_CLOCK_LAG_MS = 3000
 # The longest time after which an order without an answer was seen carried out is 12 s.
-LATE_MS = 15_000
+LATE_START_MS = 15_000
 # An order or poll without an answer makes a worker doubtful until the next answer.
 DOUBTFUL_FAILURES = 1
 
@@ -124,7 +124,7 @@
     that ran in the life before.
     """
 
-    def __init__(self, record, now_ms, lapses_ms):
+    def __init__(self, record, now_ms, lease_end_ms):
         self.record = record
         self.target_id = record.target_id
         self.rack = rack_of(record.labels)
@@ -135,20 +135,20 @@
         self.incarnation = 0
         self.is_recording_ends = False
         self.has_ends_to_acknowledge = False
-        self.unsettled = {}
+        self.unanswered_starts = {}
         self.is_leaving = False
         self.is_evacuated = False
         self.announced_ms = now_ms
         self.sequence = -1
         self.last_contact_ms = now_ms
         self.failures = 0
-        self.failed_ms = None
+        self.first_failure_ms = None
         self.runs_in_doubt = {}
         self.previous_ends = {}
         self.is_refusing = False
-        self.lease_end_ms = lapses_ms
+        self.lease_end_ms = lease_end_ms
         self.clock_offset_ms = None
-        self.offset_at_ms = now_ms
+        self.clock_offset_at_ms = now_ms
         self.cursor = 0
         self.poll_sent_ms = None
         self.poll = None
@@ -168,22 +168,22 @@
             self.record_failed_call(now_ms)
         elif outcome == orders.OK:
             self.failures = 0
-            self.failed_ms = None
+            self.first_failure_ms = None
 
     def record_failed_call(self, now_ms):
         """A call had no answer, or none that helps."""
         if not self.failures:
-            self.failed_ms = now_ms
+            self.first_failure_ms = now_ms
         self.failures += 1
 
     def expect_late_start(self, run, now_ms):
         """A start of this run got no answer and may be carried out seconds later."""
-        self.unsettled[(str(run.key), run.run)] = now_ms + LATE_MS
+        self.unanswered_starts[(str(run.key), run.run)] = now_ms + LATE_START_MS
 
     def late_starts(self, now_ms):
         """Starts that may still be carried out, as (task, run)."""
-        late = {key: ms for key, ms in self.unsettled.items() if ms > now_ms}
-        self.unsettled = late
+        late = {key: ms for key, ms in self.unanswered_starts.items() if ms > now_ms}
+        self.unanswered_starts = late
         return list(late)
 
     def begin_incarnation(self):
@@ -203,9 +203,9 @@
         if self.clock_offset_ms is None:
             return False
         aged = self.clock_offset_ms - (CLOCK_DRIFT_FACTOR - 1) * (
-            now_ms - self.offset_at_ms
+            now_ms - self.clock_offset_at_ms
         )
-        return clock_ms - now_ms < aged - OTHER_LIFE_BEHIND_MS
+        return clock_ms - now_ms < aged - MAX_CLOCK_LAG_MS
 
     def update_clock_offset(self, clock_ms, now_ms):
         """Learn how far the worker's clock is ahead of ours; never too far ahead.
@@ -216,15 +216,15 @@
         sample = clock_ms - now_ms
         if self.clock_offset_ms is not None:
             aged = self.clock_offset_ms - (CLOCK_DRIFT_FACTOR - 1) * (
-                now_ms - self.offset_at_ms
+                now_ms - self.clock_offset_at_ms
             )
             sample = max(sample, int(aged))
-        self.clock_offset_ms, self.offset_at_ms = sample, now_ms
+        self.clock_offset_ms, self.clock_offset_at_ms = sample, now_ms
 
     def grant_lease(self, lease_ms, now_ms):
         """Grant a lease from now on; returns its end on the worker's clock."""
-        lapses_ms = now_ms + int(lease_ms * CLOCK_DRIFT_FACTOR) + LEASE_MARGIN_MS
-        self.lease_end_ms = max(self.lease_end_ms, lapses_ms)
+        lease_end_ms = now_ms + int(lease_ms * CLOCK_DRIFT_FACTOR) + LEASE_MARGIN_MS
+        self.lease_end_ms = max(self.lease_end_ms, lease_end_ms)
         return now_ms + self.clock_offset_ms + lease_ms
 
     def is_planned_to_end(self):
@@ -270,18 +270,18 @@
     def add(self, run):
         """Take room for a run."""
         self.runs[run.key] = run
-        self._count(run, 1)
+        self._update_used(run, 1)
 
     def remove(self, run):
         """Give a run's room back."""
         del self.runs[run.key]
-        self._count(run, -1)
+        self._update_used(run, -1)
 
     def count_of(self, group):
         """How many tasks of a step's occurrence are here."""
         return sum(key[:3] == group for key in self.runs)
 
-    def _count(self, run, sign):
+    def _update_used(self, run, sign):
         if not run.best_effort:
             self.used[0] += sign * run.demand.cpu_millis
         self.used[1] += sign * run.demand.memory_mb
