--- a/alderreach/decisions/cell/__init__.py
+++ b/alderreach/decisions/cell/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the one owner of a whole cell; no clock, no socket, no thread."""
+"""Decisions of a cell's leader; nothing here uses a clock, a socket or a thread."""
--- a/alderreach/decisions/cell/choice.py
+++ b/alderreach/decisions/cell/choice.py
@@ -1,36 +1,36 @@
-"""On which worker a task starts.
-
-A task goes where the least is left over afterwards (best fit by the scarcer resource),
-since small tasks that are spread evenly leave no hole for a large one. The rack of its
-data goes first, and gangs that want one rack go into the rack that holds all of them
-with least to spare. Best-effort tasks go where the most processor time is idle and, if
-there is a choice, not beside tasks that serve.
-
-Before the fit goes the failure domain: the tasks of a step that are under way stay in
-one if it has room for them. A job is done when its last task is, so a job that is
-spread over several domains is delayed by a partition of any of them. A new step goes to
-the domain with most room for it, so that the steps as a whole are spread evenly.
+"""Selection of the worker on which a task starts.
+
+A task starts on the worker with the smallest remaining share of its scarcer resource
+(best fit), since spreading small tasks evenly leaves no worker free enough for a large
+one. The rack that holds the task's data takes precedence over the fit, and a gang that
+wants one rack gets the fullest rack that fits all of it. Best-effort tasks start on the
+worker with the most idle processor time, if possible on one without serving tasks.
+
+The failure domain takes precedence over the fit, too: the tasks of a step run in one
+domain if it has capacity for all of them. A job is done only when its last task is, so
+a partition of any domain delays every job that is spread over it. A new step goes to
+the domain with the most free capacity for it, which spreads the steps evenly.
 """
 
 import collections
 import heapq
 
-# Costs are shares of a worker, below 1; these are above every such cost, so that the
-# domain, the data's rack and a worker without serving tasks go before any better fit.
+# The cost of a fit is a share of a worker, below 1. These costs are higher, so that the
+# domain, the data's rack and a worker without serving tasks outweigh any better fit.
 OTHER_DOMAIN_COST = 2.0
 REMOTE_DATA_COST = 10.0
 BESIDE_SERVING_COST = 100.0
-# A worker that failed something lately, or failed this very task, is the last choice.
+# For each strike; a worker with a recent failure or stall is the last choice.
 STRIKE_COST = 1000.0
 
 
 def candidates(workers, step, group, now_ms):
-    """Workers on which one more task of a step could start now."""
+    """The workers on which one more task of a step can start now."""
     return [worker for worker in workers if can_start(worker, step, group, now_ms)]
 
 
 def can_start(worker, step, group, now_ms):
-    """Whether one more task of a step could start on a worker."""
+    """Whether one more task of a step can start on a worker now."""
     return (
         worker.is_usable(now_ms)
         and is_suitable(worker, step)
@@ -40,7 +40,7 @@
 
 
 def is_suitable(worker, step):
-    """Whether a worker could ever run a step, empty and in good health."""
+    """Whether a worker could run a task of a step if it were idle and healthy."""
     capacity, demand = worker.record.capacity, step.demand
     if step.required_label and step.required_label not in worker.record.labels:
         return False
@@ -52,11 +52,11 @@
 
 
 class Ranking:
-    """Candidates of one step, the best first, while its tasks are placed on them.
+    """The candidates of one step, best first, while its tasks are placed on them.
 
-    Only the worker that took a task is ranked anew, so that placing a wide step costs
-    by its tasks and not by its tasks times the workers. ``domains`` are those that go
-    first; equal workers go by their ids.
+    Only the worker that got a task is ranked again, so the cost of placing a wide step
+    grows with its tasks, not with its tasks times the workers. ``domains`` are the
+    preferred failure domains; ties are broken by worker id.
     """
 
     def __init__(self, workers, step, group, domains=()):
@@ -67,11 +67,11 @@
         heapq.heapify(self._rows)
 
     def pop_best(self, key, avoided="", is_crowded=lambda worker: False):
-        """The best worker for a task, no longer ranked; None if there is none.
+        """Remove and return the best worker for a task; None if there is none.
 
-        ``avoided`` is the worker on which the task failed last; it and those for which
-        ``is_crowded(worker)`` holds are the last choice. One that still has an older
-        run of the task is passed over.
+        ``avoided`` is the worker on which the task failed last. That worker, and each
+        one for which ``is_crowded(worker)`` is true, is the last choice. A worker that
+        still has an older run of the task is skipped.
         """
         skipped = []
         found = None
@@ -89,7 +89,7 @@
         return found[2] if found else None
 
     def requeue(self, worker, now_ms):
-        """Rank a worker again that has taken a task, if it may take another."""
+        """Rank a worker again after it got a task, if one more can start there."""
         if can_start(worker, self._step, self._group, now_ms):
             heapq.heappush(self._rows, self._row(worker))
 
@@ -104,9 +104,10 @@
 def domains_for(workers, step, group, wanted, used):
     """The failure domains in which ``wanted`` tasks of a step start first.
 
-    ``workers`` are its candidates, and ``used`` names the domains where others of its
-    tasks are under way: they go on there. Otherwise it is the domain with most room, if
-    that holds them all; if none does, no domain goes before another.
+    ``workers`` are its candidates. ``used`` names the domains where other tasks of the
+    step are running; if there are any, they are preferred. Otherwise the domain with
+    the most free capacity is preferred if it fits all tasks. If no domain fits them
+    all, none is preferred.
     """
     if used:
         return used
@@ -121,8 +122,8 @@
 def plan_gang(workers, step, group, wanted, now_ms):
     """One worker for each of ``wanted`` tasks of a gang; None if they don't all fit.
 
-    Where the gang wants one rack, the fullest rack that can hold it is taken, and the
-    whole cell only if none can.
+    If the gang wants one rack, the plan uses the fullest rack that fits it, and workers
+    of several racks only if no rack does.
     """
     usable = candidates(workers, step, group, now_ms)
     if step.same_rack:
@@ -148,7 +149,7 @@
 
 
 def _fit_count(worker, step, group):
-    """How many tasks of a step fit on a worker."""
+    """How many more tasks of a step fit on a worker."""
     free, demand = worker.free(), step.demand
     limits = []
     if demand.cpu_millis and not step.best_effort:
@@ -171,7 +172,7 @@
 
 
 def _left(worker, step):
-    """The share of a worker that stays free, of the resource that is scarcer."""
+    """The share of its scarcer resource that a worker has left after one more task."""
     capacity, used, demand = worker.record.capacity, worker.used, step.demand
     cpu = capacity.cpu_millis - used[0] - demand.cpu_millis
     memory = capacity.memory_mb - used[1] - demand.memory_mb
--- a/alderreach/decisions/cell/crash_blame.py
+++ b/alderreach/decisions/cell/crash_blame.py
@@ -1,58 +1,61 @@
-"""Which tasks a crash of their worker speaks against, and when one is given up.
-
-Load: a task that crashes each worker that starts it. Started anew as soon as its worker
-is lost, it takes down a whole cell within seconds, and those beside it with it.
-
-Such a task mostly takes its worker down as it starts. So a crash counts most against a
-run that was fresh, and twice as much if no other was and it surely got there. It counts
-somewhat against one that had run for less than a minute, and not at all against an
-older one. A worker that had said that it drains or ends has not crashed. At
-``BLAME_LIMIT`` the task is given up and its job fails: after two crashes at the least,
-after five at most.
-
-Whatever starts together with such a task goes on to the next worker with it, and is
-blamed with it. So a suspect starts apart: where nothing has just started if possible,
-and nothing else starts beside it for a moment. A crash under a fresh suspect is not
-counted against the others that were there.
+"""Blame for worker crashes: which tasks a crash counts against, and when one fails.
+
+A poison job has a task that crashes every worker that starts it. If it were restarted
+each time its worker is lost, it would take down a whole cell within seconds, and with
+it the tasks on the same workers.
+
+Such a task mostly crashes its worker right at its start. So a crash counts most against
+a fresh run, and twice as much if that was the only fresh run and its start certainly
+reached the worker. It counts less against a run that is younger than a minute, and not
+at all against an older one. A worker that had announced that it drains or ends has not
+crashed. A task whose blame reaches ``BLAME_LIMIT`` fails, and its job with it. That
+takes at least two crashes and at most five.
+
+Tasks that start together with a poison task would move to the next worker with it and
+be blamed with it. So a suspect starts alone: if possible on a worker where nothing has
+just started, and nothing else starts there for ``SUSPECT_ISOLATION_MS``. A crash under
+a fresh suspect does not count against the other runs on that worker.
 """
 
 from alderreach.core import crashes
 from alderreach.decisions.cell import workers
 
-# A run is fresh until so long after it was placed, and while its worker has not
-# confirmed it.
+# A run is fresh for this time after it was placed, and until its worker confirms it.
 FRESH_MS = 500
-# A run that has lived for so long has not crashed its worker by being started.
+# The start of a run that is older than this did not cause its worker's crash.
 YOUNG_MS = 60_000
-# A connection that ends so soon after a start was ended by a crash. One that ends later
-# was ended by a link that is reached again: the start may never have got there.
+# If the connection closes within this time after a start, the worker has crashed. If it
+# closes later, a broken link was restored, and the start may not have arrived at all.
 CRASH_DISCONNECT_MS = 200
-# With so many runs in doubt a task waits until it is known what became of one.
+# A task with this many runs in doubt is not restarted until one of them is resolved.
 MAX_RUNS_IN_DOUBT = 3
-# Nothing else starts beside a suspect for so long; a culprit crashes a worker at once.
+# Nothing else starts on a suspect's worker for this time; a poison task crashes its
+# worker at once.
 SUSPECT_ISOLATION_MS = 250
-# Two crashes under a lone fresh run, three under fresh runs, five under young ones.
+# Reached by two crashes with a single fresh run, three with several fresh runs, or five
+# with young runs.
 BLAME_LIMIT = 9
-# From so much on a task starts apart: a crash under a fresh run, two under young ones.
+# With this blame a task starts alone: after one crash under a fresh run, or two under
+# young ones.
 SUSPECT_BLAME = 3
 
 
 def is_suspect(blame):
-    """Whether a task with so much blame starts apart from others."""
+    """Whether a task with this blame has to start alone on its worker."""
     return blame >= SUSPECT_BLAME
 
 
 def reaches_blame_limit(blame):
-    """Whether a task with so much blame is given up."""
+    """Whether a task with this blame fails instead of being restarted."""
     return blame >= BLAME_LIMIT
 
 
 def ends_after_crash(worker, now_ms, is_known_suspect=lambda key: False):
-    """How each run on a worker ended that is found gone, by (key, number of the run).
+    """How each run on a lost worker ended if it crashed, by (key, number of the run).
 
-    Runs that the worker never heard of are left out, since they have not been there. So
-    are all others if one was fresh whose task ``is_known(key)`` to be a suspect: it
-    explains the crash.
+    Runs that were never sent to the worker are left out, since they were not there. If
+    the task of a fresh run is a suspect, by ``is_known_suspect(key)``, it explains the
+    crash, and all other runs are left out as well.
     """
     present = [
         run
@@ -82,16 +85,17 @@
 
 
 def has_fresh_run(worker, now_ms):
-    """Whether something has only just started on a worker."""
+    """Whether a worker has a run that was placed less than ``FRESH_MS`` ago."""
     return any(now_ms - run.placed_ms < FRESH_MS for run in worker.runs.values())
 
 
 def _was_fresh(run, worker, is_polled, lost_ms):
-    """Whether a run had only just started, or was not known to have, at a crash.
+    """Whether a run had just started at a crash, or may have done so.
 
-    A start into a silence that was long by then may never have got there; a worker on
-    which nothing else runs is not polled, so its silence says nothing. Of a run that
-    this leader found nothing is known.
+    A start that was sent long after the last contact may never have reached the worker.
+    A worker that runs nothing else is not polled, though, so its silence proves
+    nothing. A run that this leader did not start itself is never fresh, since its start
+    is not known.
     """
     if run.order is None:
         return False
