--- a/alderreach/decisions/cell/health.py
+++ b/alderreach/decisions/cell/health.py
@@ -1,60 +1,62 @@
-"""Workers that do worse than their peers, and runs that get nowhere.
-
-A worker may fail all it starts, let tasks stand still or be several times slower while
-its heartbeats are good. One that fails at once is always empty, and would be given task
-after task.
-
-- Failed ends count against a worker only once for each job, and a success clears them.
-  A job that has failed on two workers counts against neither, since a broken job fails
-  everywhere. One strike makes a worker the last choice;
-  ``STRIKES_OUT`` take it out for ``FIRST_OUT_MS``, doubled each time, and then it is
-  tried again. At most ``OUT_SHARE`` of a service's workers are out at once: if more
-  seem bad, it is not the workers.
-- A run whose progress has not moved for ``STALL_MS`` is stopped and started elsewhere;
-  its worker gets a strike. Progress is whole percents and seen at every poll, so a task
-  of three minutes still moves in that time.
-- Runs leave a worker that is slow: one whose runs, by their pace, take ``SLOW_RATIO``
-  times as long as their finished siblings at the median, or ``LONE_RATIO`` times if
-  only one can be compared. Single runs say little: tasks of one step differ several
-  times by themselves, and the same ones are long wherever they go. Moved for their own
-  length alone, they would do their work twice. A run is moved only if what is
-  left of it there is longer than all of it elsewhere. The pace is taken between two
-  polls, since a start with a restore, or a gang that gathers, makes the first percents
-  slow on a healthy worker.
+"""Health of workers: failures, stalled runs and slowness compared to their peers.
+
+A worker may fail every task, let tasks stall or be several times slower than others
+while its heartbeats are good. A worker that fails tasks at once is always idle, so the
+best fit would give it one task after another.
+
+- A failed run counts as a strike against its worker, once for each job; a success
+  clears all strikes. A job that has failed on two workers counts against neither, since
+  a broken job fails everywhere. With one strike a worker is the last choice. With
+  ``STRIKES_OUT`` strikes it gets no tasks for ``FIRST_OUT_MS``, doubled each time, and
+  is then tried again. At most ``MAX_OUT_SHARE`` of a service's workers are out at once:
+  if more seem bad, the workers are not the cause.
+- A run whose progress has not changed for ``STALL_MS`` is stopped and started
+  elsewhere, and its worker gets a strike. Progress is reported in whole percents at
+  every poll, so a task of three minutes still advances within that time.
+- Runs are moved away from a slow worker. A worker is slow if its runs, extrapolated
+  from their progress, take ``SLOW_RATIO`` times as long as their finished siblings at
+  the median, or ``SINGLE_RUN_SLOW_RATIO`` times if only one run can be compared. A
+  single run says little: durations within one step differ by several times, and a long
+  task is long on every worker. Moving it for its length alone would do its work twice.
+  So a run is moved only if its remaining work takes longer there than all of its work
+  elsewhere. Its speed is computed between two polls, since a restore at its start, or a
+  gang that waits for its members, slows down the first percents on a healthy worker.
 """
 
 import collections
 import statistics
 
 STRIKES_OUT = 2
-# The usual trouble of a worker lasts some seconds; a healthy one loses little by this.
+# Most faults of a worker last some seconds; a healthy worker loses little in this time.
 FIRST_OUT_MS = 3000
 MAX_OUT_MS = 30_000
 MAX_OUT_SHARE = 0.34
-# More broken jobs than fail on one worker at a time.
+# More than the number of broken jobs that fail on one worker at a time.
 MAX_EXCUSED_JOBS = 16
 STALL_MS = 1800
 SLOW_RATIO = 3.0
 SINGLE_RUN_SLOW_RATIO = 5.0
-# Below this share of done siblings their durations say little of the step's.
+# With fewer finished siblings, their durations say little about the step's.
 MIN_SIBLINGS = 2
-# What moving a run costs beside doing the work again: a stop, a commit, a start.
+# What moving a run costs besides repeating its work: a stop, a commit and a start.
 MOVE_COST_MS = 800
-# A task moved this often is left where it is: its progress may just not show.
+# A task that was moved this often stays where it is: it may make progress that it does
+# not report.
 MAX_MOVES = 2
-# Less progress between two polls than this is too rough to project from, unless this
-# much time has passed.
+# Less progress between two polls is too coarse to extrapolate from, unless the run was
+# observed for at least MIN_OBSERVED_MS.
 MIN_PROGRESS_PERCENT = 10
 MIN_OBSERVED_MS = 1500
 
 
 class Record:
-    """What speaks against one worker, and until when it is out for that.
+    """The strikes against one worker, and until when it is out because of them.
 
     ``excused`` are the last jobs whose failure here turned out to be their own fault.
 
-    The moment is its own: shared with the short wait after a refused start, the refusal
-    brought a bad worker back early, and refusals for want of room kept bad workers in.
+    ``out_until_ms`` is separate from the short pause after a refused start. With one
+    field for both, a refusal ended a bad worker's time out early, and workers that had
+    refused a start for lack of capacity counted as out, which kept bad workers in use.
     """
 
     __slots__ = ("excused", "out_ms", "out_until_ms", "strikes")
@@ -67,19 +69,20 @@
 
 
 def record_success(worker):
-    """A run was done: the worker is well."""
+    """Clear the strikes of a worker on which a run succeeded."""
     worker.health.strikes.clear()
     worker.health.out_ms = FIRST_OUT_MS
 
 
 def add_strike(worker, job_id, workers, now_ms):
-    """Count a failure or stall of a job against a worker; True if it is now out.
+    """Count a failure or stall of a job against a worker; True if it is out by that.
 
-    ``workers`` are all that are known, of every service.
+    ``workers`` are all known workers, of every service.
     """
     record = worker.health
     if now_ms < record.out_until_ms:
-        # It started before; only what fails after the return says that it is still bad.
+        # The run had started before that; only a failure after the worker's return
+        # shows that it is still bad.
         return False
     peers = [w for w in workers if w.record.service == worker.record.service]
     if _is_excused(job_id, worker, peers):
@@ -94,15 +97,15 @@
         return False
     record.out_until_ms = now_ms + record.out_ms
     record.out_ms = min(2 * record.out_ms, MAX_OUT_MS)
-    # One more failure after its return takes it out again.
+    # One more failure after its return puts it out again.
     record.strikes = {job_id}
     return True
 
 
 def _is_excused(job_id, worker, peers):
-    """Whether a job's failures count against no worker: it has failed on two.
+    """Whether a job has failed on two workers, so that it counts against neither.
 
-    A worker that is out with a strike for such a job is back.
+    A worker that is out with a strike for such a job may be used again at once.
     """
     if any(job_id in peer.health.excused for peer in peers):
         return True
@@ -115,10 +118,11 @@
 
 
 def full_duration_ms(run, now_ms):
-    """How long all the work of a run that is done now takes, or None if unknown.
+    """The duration of all work of a run that is done now, or None if unknown.
 
-    Of a run that a new leader found, or that resumed from a checkpoint, only a part was
-    seen; it stands for the rest by its pace, or its siblings would look slow beside it.
+    Only a part was observed of a run that a previous leader started or that resumed
+    from a checkpoint. Its duration is extrapolated from that part; otherwise its
+    siblings would look slow by comparison.
     """
     if run.is_fully_observed:
         return now_ms - run.placed_ms
@@ -128,7 +132,7 @@
 
 
 def is_stalled(run, now_ms):
-    """Whether a run that should get on has not moved for too long."""
+    """Whether a run at full pace has made no progress for ``STALL_MS``."""
     return (
         run.pace == 100
         and run.percent < 100
@@ -137,7 +141,7 @@
 
 
 def slowness(run, durations_ms):
-    """How many times as long as its done siblings a run takes, or None if unknown.
+    """The ratio of a run's duration to that of its finished siblings, None if unknown.
 
     >>> class Run:
     ...     first_percent, first_ms, pace = 2, 0, 100
@@ -155,13 +159,13 @@
         progress < MIN_PROGRESS_PERCENT and observed_ms < MIN_OBSERVED_MS
     ):
         return None
-    # A run may be done in the millisecond in which it was first seen to have begun.
+    # A run may end within the millisecond in which its start was first observed.
     usual_ms = max(1, statistics.median(durations_ms))
     return observed_ms * 100 / progress / usual_ms
 
 
 def remaining_ms(run, now_ms):
-    """How long a run will still take by its pace, or None if that is not known."""
+    """The remaining time of a run, extrapolated from its progress; None if unknown."""
     if run.first_ms is None or run.pace != 100:
         return None
     progress, observed_ms = (
@@ -176,14 +180,14 @@
 
 
 def is_slow(ratios):
-    """Whether a worker is slow, by the slowness of those of its runs that have one."""
+    """Whether a worker is slow, given the known slowness of its runs."""
     if len(ratios) == 1:
         return ratios[0] >= SINGLE_RUN_SLOW_RATIO
     return bool(ratios) and statistics.median(ratios) >= SLOW_RATIO
 
 
 def is_worth_moving(run, ratio, durations_ms):
-    """Whether a run on a slow worker would be done sooner elsewhere, all of it anew."""
+    """Whether a run on a slow worker would end sooner if restarted elsewhere."""
     usual_ms = statistics.median(durations_ms)
     left_ms = ratio * usual_ms * (100 - run.percent) / 100
     return left_ms > usual_ms + MOVE_COST_MS
--- a/alderreach/decisions/cell/order.py
+++ b/alderreach/decisions/cell/order.py
@@ -1,10 +1,10 @@
-"""Whose tasks go first.
+"""The order in which waiting steps start.
 
-Steps are ordered by their queue's priority, then by the latest moment at which they can
-start and still meet the job's objective: what is left of the chain of steps, by the
-submitter's estimates, is taken off the deadline. A job past three times its objective
-earns nothing any more and goes behind those that do; it is still run, since it was
-accepted.
+Steps are ordered by their queue's priority, then by the latest time at which they can
+start and still meet the job's objective. That is the deadline minus the longest chain
+of the remaining steps, by the submitter's estimates. A job past three times its
+objective is worthless: it comes after all others of its priority, but it still runs,
+since it was accepted.
 """
 
 import heapq
@@ -16,7 +16,7 @@
 
 
 class Rank(typing.NamedTuple):
-    """What of a step's urgency does not change while its queue is configured alike."""
+    """The part of a step's urgency that changes only with its queue's configuration."""
 
     priority: int
     worthless_from_ms: float
@@ -36,7 +36,7 @@
 def chain_ms(steps):
     """For each step, the longest chain of estimates from its start to the job's end.
 
-    The steps stand in an order in which each follows those it waits for.
+    ``steps`` are in topological order: each comes after those it depends on.
     """
     tails = [0] * len(steps)
     for number in range(len(steps) - 1, -1, -1):
@@ -47,7 +47,7 @@
 
 
 def objective_ms(queue, steps):
-    """How long a job may take from its submission until it counts as late."""
+    """The time from its submission after which a job counts as late."""
     longest = max(chain_ms(steps), default=0)
     return queue.stretch * longest + queue.target_latency_ms
 
@@ -65,13 +65,13 @@
 
 
 def urgency(ranked, now_ms):
-    """The urgency now of a step with this Rank."""
+    """The urgency of a step with this Rank at ``now_ms``."""
     is_worthless = now_ms > ranked.worthless_from_ms
     return Urgency(ranked.priority, is_worthless, ranked.latest_start_ms, ranked.job_id)
 
 
 class UrgencyQueue:
-    """Waiting steps, the most urgent first, kept in order as they come and go."""
+    """Waiting steps, kept sorted with the most urgent first."""
 
     def __init__(self):
         self._rows = sortedcontainers.SortedList()
@@ -79,7 +79,7 @@
         self._aging = []
 
     def add(self, group, ranked, now_ms):
-        """Put a step with this Rank where it belongs."""
+        """Insert a step with this Rank, or move it if it is there already."""
         self.remove(group)
         row = (urgency(ranked, now_ms), group)
         self._rows.add(row)
@@ -88,13 +88,13 @@
             heapq.heappush(self._aging, (ranked.worthless_from_ms, group))
 
     def remove(self, group):
-        """Take a step out if it is there."""
+        """Remove a step if it is there."""
         row, _ranked = self._by_group.pop(group, (None, None))
         if row is not None:
             self._rows.remove(row)
 
     def refresh(self, now_ms):
-        """Move steps behind whose jobs have become too late to earn anything."""
+        """Move the steps of jobs that have become worthless behind the others."""
         while self._aging and self._aging[0][0] < now_ms:
             group = heapq.heappop(self._aging)[1]
             _row, ranked = self._by_group.get(group, (None, None))
@@ -102,11 +102,11 @@
                 self.add(group, ranked, now_ms)
 
     def groups(self):
-        """All steps in order, as a list that later changes leave alone."""
+        """All steps in order, as a copy that later changes don't affect."""
         return [group for _urgency, group in self._rows]
 
     def is_before(self, group, other):
-        """Whether a step goes before another; one that is not here goes last."""
+        """Whether a step comes before another; a step that is not queued comes last."""
         row, _ranked = self._by_group.get(group, (None, None))
         other_row, _ranked = self._by_group.get(other, (None, None))
         return row is not None and (other_row is None or row < other_row)
--- a/alderreach/decisions/cell/pacing.py
+++ b/alderreach/decisions/cell/pacing.py
@@ -1,24 +1,25 @@
-"""Best-effort tasks step back before they make serving tasks miss their target.
+"""Throttling of best-effort tasks before serving tasks miss their latency target.
 
-They disturb serving tasks on the same worker by amounts that differ by image and change
-within seconds.
+Best-effort tasks slow down serving tasks on the same worker, by amounts that differ by
+image and change within seconds.
 
-The tail that a worker reports for half a second is rough, so the share of the
-best-effort tasks is halved as soon as a serving task is over ``HIGH`` of its target and
-taken to nothing when it is over the target itself; below ``LOW`` it grows by ``STEP``.
-Two reports at least lie between two changes, so that each shows its effect first.
+A worker reports the tail latency over half a second, which is a noisy figure. So the
+share of the best-effort tasks is halved as soon as a serving task exceeds
+``HIGH_RATIO`` of its target, and set to zero when it exceeds the target itself. Below
+``LOW_RATIO`` the share grows by ``SHARE_INCREASE``. Two reports at least arrive between
+two changes, so that the effect of each is seen before the next.
 """
 
 HIGH_RATIO = 0.85
 LOW_RATIO = 0.6
 SHARE_INCREASE = 25
 FULL_SHARE = 100
-# A share below this is worth less than the disturbance it may bring.
+# A smaller share does less work than its effect on serving tasks may cost.
 MIN_SHARE = 13
 
 
 def next_share(share, ratio):
-    """The next share in percent, for the worst ratio of a tail to its target.
+    """The next share in percent, given the worst ratio of a tail latency to its target.
 
     >>> next_share(100, 0.9), next_share(100, 1.2), next_share(0, 0.3)
     (50, 0, 25)
@@ -33,7 +34,7 @@
 
 
 def worst_ratio(runs):
-    """The worst tail of the serving tasks against its target; None without any."""
+    """The worst ratio of tail latency to target of the serving tasks; None if none."""
     ratios = [run.load / run.tail_target_ms for run in runs if run.tail_target_ms > 0]
     return max(ratios, default=None)
 
@@ -41,9 +42,9 @@
 def share_changes(runs):
     """(run, share) for each best-effort run whose share should change now.
 
-    A share that is not known, since another leader or an order without an answer may
-    have set it, is set in any case: a run that is held down to nothing for what nobody
-    knows of would never work again.
+    The share is unknown if a previous leader or an order without an answer may have set
+    it. It is then set in any case; otherwise a run whose share was set to zero might
+    never continue.
     """
     ratio = worst_ratio(runs)
     if ratio is None:
