--- a/alderreach/decisions/cell/permissions.py
+++ b/alderreach/decisions/cell/permissions.py
@@ -1,17 +1,19 @@
-"""Which workers an outside service lets a step run on, asked for ahead of need.
+"""Permissions of steps to run on workers, queried ahead of need.
 
-A decision takes up to a second, and the service serves each calling VM one question at
-a time, so a leader that asked alone, once steps are ready, would be the bottleneck.
+An external permission service decides on which workers a step may run. A decision takes
+up to a second, and the service handles one query at a time for each calling VM. If the
+leader sent all queries itself, and only once steps are ready, it would be the
+bottleneck.
 
-Questions are spread over all processes of the cell, one at a time each. A third of
-the processes is kept for questions that are decided several times faster than the
-longest, so that an urgent step's 25 ms do not queue behind 600 ms of work that can
-wait.
+Queries are spread over all processes of the cell, the helpers, one at a time for each.
+A third of the helpers is reserved for queries that are decided several times faster
+than the slowest, so that an urgent step's query of 25 ms does not wait behind others of
+600 ms that are not urgent.
 
-An answer never changes, so a worker that was turned down is not asked about again. A
-ticket ages: it is used only while ``SAFETY_MS`` of its life are left, and renewed once
-they are not if the step still waits; a step that found too little room names workers
-that nobody asked about in the same question.
+An answer never changes, so a denied worker is not queried again. A ticket expires: it
+is used only while at least ``TICKET_MARGIN_MS`` of its validity are left, and renewed
+after that if the step still waits. If a step's permitted workers lack the capacity for
+it, the same query also names workers that were not queried yet.
 
 >>> from alderreach.core.generated import cell
 >>> known, rule = Permissions(), cell.PermissionRule(20, 0.2, 2000)
@@ -28,35 +30,38 @@
 import math
 import typing
 
-# A start needs a synced log entry and a call before its ticket runs out.
+# A start takes a synced log entry and a call, both before its ticket expires.
 TICKET_MARGIN_MS = 200
-# The longest list of workers in one question. Longer ones take longer to decide, and
-# a third or more of the workers are usually let run a step.
+# The maximum number of new workers in a query. Longer queries take longer to decide, and
+# usually a third or more of the workers are permitted.
 MAX_NEW_PER_QUERY = 30
-# The permission service takes no question that names more workers; one that did would
-# be put again and again, and its step never placed.
+# The permission service rejects a query that names more workers. Such a query would be
+# repeated without end, and its step never placed.
 MAX_QUERY_WORKERS = 100
-# A renewal names this many workers for each task that still waits, so that two of
-# three may be full.
+# A renewal names this many workers for each waiting task, so that two of three may be
+# full.
 RENEWALS_PER_TASK = 3
-# Workers in one renewal at the least; room moves while the question is decided.
+# The minimum number of workers in a renewal, since free capacity changes while the
+# query is decided.
 MIN_RENEWALS = 4
-# Helpers kept for questions that are decided this many times faster.
+# The share of the helpers that is reserved for queries which are decided QUICK_RATIO
+# times faster.
 QUICK_SHARE = 0.34
 QUICK_RATIO = 4
-# Tickets are renewed early only while this share of the helpers is idle.
+# Tickets are renewed early only while at least this share of the helpers is idle.
 IDLE_SHARE = 0.5
-# A question without an answer is asked elsewhere after this and twice its due time.
+# A query without an answer is sent to another helper after this plus twice its expected
+# decision time.
 ANSWER_SLACK_MS = 400
-# A step for which there was nothing to ask is looked at again after this at the
-# soonest: a worker that comes or recovers meanwhile is asked about that much later.
-NOTHING_TO_ASK_PAUSE_MS = 50
-# A step that found no idle helper tries again after this.
+# The minimum pause after a check that found nothing to query. A worker that joins or
+# recovers in the meantime is queried that much later.
+NOTHING_TO_QUERY_PAUSE_MS = 50
+# A step is checked again after this if no helper was idle.
 NO_HELPER_RETRY_MS = 20
 
 
 class Query(typing.NamedTuple):
-    """One question on its way."""
+    """A query that was sent to a helper."""
 
     query_id: str
     group: tuple
@@ -66,11 +71,11 @@
 
 
 class _GroupAnswers:
-    """What is known of one group: tickets by worker, and who was turned down.
+    """The answers for one group: tickets by worker, and the denied workers.
 
-    ``is_short`` says that workers with good tickets had too little room for it. After
-    there was nothing to ask, the next check is at ``next_check_ms``, but already at
-    ``early_check_ms`` if workers come or go meanwhile.
+    ``has_shortage`` is set if workers with valid tickets lacked the capacity for it. If
+    a check found nothing to query, the next check is at ``next_check_ms``, or at
+    ``early_check_ms`` if workers became usable or unusable in the meantime.
     """
 
     __slots__ = (
@@ -90,16 +95,16 @@
         self.check_at_once()
 
     def check_at_once(self):
-        """Forget that there was nothing to ask."""
+        """End the pause after a check that found nothing to query."""
         self.next_check_ms = self.early_check_ms = 0
 
     def next_expiry_ms(self, after_ms):
-        """When the first of the tickets that are good after a moment runs out."""
+        """When the first of the tickets expires that are valid beyond ``after_ms``."""
         later = [until for _ticket, until in self.tickets.values() if until > after_ms]
         return min(later, default=math.inf)
 
     def fresh_ids(self, ahead_ms, now_ms):
-        """Workers whose tickets last longer than ``ahead_ms`` from now."""
+        """Ids of workers whose tickets are valid for more than another ``ahead_ms``."""
         return [
             target_id
             for target_id, (_ticket, until_ms) in self.tickets.items()
@@ -108,7 +113,7 @@
 
 
 class Permissions:
-    """All answers of a leader, and which helpers are busy."""
+    """All answers that a leader received, and which helpers are busy."""
 
     def __init__(self):
         self._groups = {}
@@ -118,7 +123,7 @@
         self._serial = 0
 
     def ticket(self, group, target_id, now_ms):
-        """A ticket that is good for a start now, or None."""
+        """A group's ticket for a worker, or None if it has none for a start now."""
         answers = self._groups.get(group)
         if answers is None:
             return None
@@ -126,21 +131,22 @@
         return ticket if until_ms - now_ms >= TICKET_MARGIN_MS else None
 
     def has_open_query(self, group):
-        """Whether a question for this group is on its way."""
+        """Whether a query for this group waits for its answer."""
         answers = self._groups.get(group)
         return answers is not None and answers.open_query is not None
 
     def permitted_ids(self, group, now_ms):
-        """Ids of workers with a ticket that is good for a start now."""
+        """Ids of workers with a ticket that is valid for a start now."""
         answers = self._groups.get(group)
         if answers is None:
             return []
         return answers.fresh_ids(TICKET_MARGIN_MS - 1, now_ms)
 
     def record_shortage(self, group):
-        """Workers with good tickets had too little room for what waits of a group.
+        """Record that workers with valid tickets lack capacity for a group's tasks.
 
-        A pause that was made while it was not short says nothing of what it needs now.
+        This ends a pause that began without a shortage, since there may be more to
+        query now.
         """
         answers = self._groups.get(group)
         if answers is not None and not answers.has_shortage:
@@ -148,17 +154,18 @@
             answers.check_at_once()
 
     def clear_shortage(self, group):
-        """Nothing of a group waits any more."""
+        """Record that no task of a group waits any more."""
         answers = self._groups.get(group)
         if answers is not None:
             answers.has_shortage = False
 
     def renewal_lead_ms(self, rule, tasks, helpers):
-        """How long before its tickets run out a step that waits has them renewed.
+        """How long before their expiry a waiting step's tickets are renewed.
 
-        The answer comes before the ticket runs out, or another step with a newer ticket
-        would take the room that comes meanwhile; but only while half of the helpers are
-        idle, since steps without any ticket need them more.
+        The answer should arrive before the ticket expires. Otherwise another step with
+        a newer ticket would use any capacity that is freed in between. Early renewals
+        are sent only while half of the helpers are idle, since steps without any ticket
+        need the helpers more.
         """
         idle = sum(helper not in self._busy for helper in helpers)
         if idle < IDLE_SHARE * len(helpers):
@@ -166,10 +173,10 @@
         return max_renewal_lead_ms(rule, tasks)
 
     def may_ask(self, group, now_ms):
-        """Whether it is worth working out whom to ask about; see ``wanted``.
+        """Whether to call ``workers_to_query`` for a group now.
 
-        Most waiting steps wait for room with all tickets fresh, and sorting the workers
-        for each of them would take most of a busy leader's time.
+        Most waiting steps have fresh tickets and wait for free capacity. Sorting the
+        workers for each of them would take most of a busy leader's time.
         """
         answers = self._groups.get(group)
         if answers is None:
@@ -177,7 +184,7 @@
         return answers.open_query is None and now_ms >= answers.next_check_ms
 
     def next_check_ms(self, group, now_ms):
-        """When a step that waits should be looked at for something to ask."""
+        """When to check the next time whether a waiting step needs a query."""
         answers = self._groups.get(group)
         if answers is None:
             return now_ms + NO_HELPER_RETRY_MS
@@ -186,10 +193,11 @@
         return max(answers.next_check_ms, now_ms + NO_HELPER_RETRY_MS)
 
     def may_ask_ahead(self, group, tasks, ahead_ms, now_ms):
-        """As ``may_ask``, for a step that is yet to open: not with tickets enough.
+        """As ``may_ask``, for a step that is not open yet; False with enough tickets.
 
-        Of a step that waits they say nothing: they may be of workers that drain, or are
-        silent, and the next question would come only when they have run out.
+        For a step that already waits, the number of tickets is no criterion: they may
+        be for workers that are draining or silent, and the next query would be sent
+        only after they have expired.
         """
         if not self.may_ask(group, now_ms):
             return False
@@ -200,45 +208,44 @@
         return not fresh or fresh < min(_enough_workers(tasks), len(answers.tickets))
 
     def pause_checks(self, group, now_ms, ahead_ms=TICKET_MARGIN_MS, workers_version=0):
-        """There was nobody to ask about; not worth working out again for a while.
+        """Pause the checks of a group after one that found nothing to query.
 
-        It is again once a ticket has less than ``ahead_ms`` left, the most by which one
-        is renewed early, or workers come.
+        The pause ends when a ticket has less than ``ahead_ms`` left, which is the
+        maximum time by which one is renewed early, or when workers become usable.
         """
         answers = self._groups.get(group)
         if answers is not None:
-            answers.early_check_ms = now_ms + NOTHING_TO_ASK_PAUSE_MS
+            answers.early_check_ms = now_ms + NOTHING_TO_QUERY_PAUSE_MS
             expiry_ms = answers.next_expiry_ms(now_ms + TICKET_MARGIN_MS)
             answers.next_check_ms = max(answers.early_check_ms, expiry_ms - ahead_ms)
 
-    def on_workers_changed(self, appeared, gone):
-        """Workers have become usable or unusable; returns the groups it concerns.
+    def on_workers_changed(self, appeared, disappeared):
+        """Handle workers that became usable or unusable; returns the affected groups.
 
-        A group may be asked for with a worker that it was not denied, and has fewer
-        workers than it counted on if one that it was let run on is gone.
+        A group is affected by a new worker that it was not denied, since that may be
+        queried, and by the loss of a worker that it has a ticket for.
         """
         concerned = []
         for group, answers in self._groups.items():
             if not answers.denied.issuperset(appeared) or any(
-                target_id in answers.tickets for target_id in gone
+                target_id in answers.tickets for target_id in disappeared
             ):
                 answers.next_check_ms = answers.early_check_ms
                 concerned.append(group)
         return concerned
 
     def workers_to_query(self, group, suitable, tasks, ahead_ms, now_ms, is_gang=False):
-        """Workers to ask about now, best first; empty if nothing has to be asked.
+        """Ids of the workers to query now, best first; empty if no query is needed.
 
-        ``suitable`` are ids of workers in the order in which they are wanted, and
-        ``tasks`` is how many still wait. Tickets that last longer than ``ahead_ms``
-        need no renewal.
+        ``suitable`` are ids of workers in order of preference, and ``tasks`` is the
+        number of waiting tasks. Tickets that are valid for more than ``ahead_ms`` need
+        no renewal.
 
-        Renewals and new workers share one question, so that neither keeps the other
-        out: each question of a step that is short names somebody new, until nobody is
-        left.
+        Renewals and new workers share one query, so that neither delays the other: each
+        query of a step with a shortage names new workers as long as there are any.
 
-        A gang needs all its tickets at one time, so the renewal of a gang that is short
-        names all its permitted workers.
+        A gang needs all its tickets at the same time, so a renewal for a gang with a
+        shortage names all its permitted workers.
         """
         answers = self._groups.setdefault(group, _GroupAnswers())
         if answers.open_query is not None:
@@ -252,7 +259,7 @@
         return [*stale[: MAX_QUERY_WORKERS - len(new)], *new]
 
     def not_yet_queried(self, group, suitable):
-        """Those of some workers that nobody asked about yet."""
+        """Those of the given workers that were not queried yet."""
         answers = self._groups.setdefault(group, _GroupAnswers())
         return [
             target_id
@@ -261,28 +268,28 @@
         ]
 
     def ever_permitted_ids(self, group):
-        """Ids of workers that a group was let run on, with tickets good or not."""
+        """Ids of all workers that a group was ever permitted, tickets valid or not."""
         answers = self._groups.get(group)
         return list(answers.tickets) if answers is not None else []
 
     def count_permitted(self, group, target_ids):
-        """How many of some workers a group was ever let run on."""
+        """How many of the given workers a group was ever permitted."""
         answers = self._groups.get(group)
         tickets = answers.tickets if answers is not None else {}
         return sum(target_id in tickets for target_id in target_ids)
 
     def count_denied(self, group):
-        """How many workers were turned down for a group."""
+        """How many workers a group was denied."""
         answers = self._groups.get(group)
         return len(answers.denied) if answers is not None else 0
 
     def idle_helper(self, rule, helpers, quickest_ms=None):
-        """The helper that may take a question under a rule now, or None.
+        """An idle helper for a query under a rule, or None.
 
         ``quickest_ms`` is the decision time of the quickest rule in force.
 
-        Whoever failed lately comes last, since a helper may be in touch with its leader
-        and not with the permission service.
+        Helpers that failed recently come last, since a helper may be connected to the
+        leader but not to the permission service.
         """
         idle = [helper for helper in helpers if helper not in self._busy]
         if len(idle) <= _reserved_helpers(rule, helpers, quickest_ms):
@@ -290,7 +297,7 @@
         return min(idle, key=lambda helper: self._failed_ms.get(helper, 0))
 
     def ask(self, group, target_ids, rule, helpers, now_ms, quickest_ms=None):
-        """Give a question to an idle helper; None if there is none for it."""
+        """Create a query and assign it to an idle helper; None if there is none."""
         helper = self.idle_helper(rule, helpers, quickest_ms)
         if helper is None:
             return None
@@ -303,11 +310,11 @@
         return query
 
     def find(self, query_id):
-        """The question with this id, or None if it was given up."""
+        """The open query with this id, or None."""
         return self._queries.get(query_id)
 
     def on_answer(self, query_id, is_decided, granted, rule, now_ms):
-        """Note an answer; returns its question, or None for one given up on."""
+        """Record an answer; returns its query, or None if that was given up."""
         query = self._queries.get(query_id)
         if query is None:
             return None
@@ -327,23 +334,23 @@
         return query
 
     def invalidate_ticket(self, group, target_id):
-        """A worker did not take a ticket: it is too old, or from another life."""
+        """Drop a ticket that a worker refused: expired, or of another incarnation."""
         answers = self._groups.get(group)
         if answers is not None and target_id in answers.tickets:
             answers.tickets[target_id] = ("", 0)
             answers.check_at_once()
 
     def forget(self, group):
-        """Nothing of this group will be started any more."""
+        """Drop the answers of a group, no task of which will be started any more."""
         self._groups.pop(group, None)
 
     def forget_matching(self, is_over):
-        """Forget all groups of which ``is_over`` holds."""
+        """Drop the answers of all groups for which ``is_over(group)`` is true."""
         for group in [group for group in self._groups if is_over(group)]:
             del self._groups[group]
 
     def give_up_overdue(self, now_ms):
-        """Free what waits for helpers that don't answer; returns their names."""
+        """Close queries that were not answered in time; returns their helpers."""
         overdue = [q for q in self._queries.values() if now_ms >= q.due_ms]
         for query in overdue:
             self._failed_ms[query.helper] = now_ms
@@ -359,36 +366,41 @@
 
 
 def _to_renew(answers, suitable, tasks, ahead_ms, now_ms):
-    """Permitted workers whose tickets run out, if too few others have fresh ones.
+    """Permitted workers whose tickets expire, if too few others have fresh tickets.
 
-    Those with fresh tickets are no reason to wait for a step that is short: they were
-    tried and are full, and one whose ticket has run out may be free.
+    For a step with a shortage, fresh tickets are no reason to wait: their workers were
+    tried and are full, while one with an expired ticket may have free capacity.
     """
-    good = [t for t in suitable if t in answers.tickets]
-    stale = [t for t in good if answers.tickets[t][1] - now_ms <= ahead_ms]
-    fresh = len(good) - len(stale)
-    if not answers.has_shortage and fresh >= min(_enough_workers(tasks), len(good)):
+    permitted = [t for t in suitable if t in answers.tickets]
+    stale = [t for t in permitted if answers.tickets[t][1] - now_ms <= ahead_ms]
+    fresh = len(permitted) - len(stale)
+    if not answers.has_shortage and fresh >= min(
+        _enough_workers(tasks), len(permitted)
+    ):
         return []
     return stale[: _enough_workers(tasks)]
 
 
 def _enough_workers(tasks):
-    """How many workers with tickets are enough for so many waiting tasks."""
+    """How many workers with tickets are enough for a number of waiting tasks."""
     return max(MIN_RENEWALS, RENEWALS_PER_TASK * tasks)
 
 
 def max_renewal_lead_ms(rule, tasks):
-    """The earliest that tickets are renewed before they run out."""
+    """The maximum time before their expiry at which tickets are renewed."""
     return TICKET_MARGIN_MS + lead_ms(rule, _enough_workers(tasks))
 
 
-def lead_ms(rule, asked):
-    """How long ahead a question about so many workers has to be asked."""
-    return math.ceil(rule.decision_ms + rule.per_target_ms * asked) + TICKET_MARGIN_MS
+def lead_ms(rule, worker_count):
+    """How long before its answer is needed a query for some workers has to be sent."""
+    return (
+        math.ceil(rule.decision_ms + rule.per_target_ms * worker_count)
+        + TICKET_MARGIN_MS
+    )
 
 
 def _reserved_helpers(rule, helpers, quickest_ms):
-    """How many helpers a question must leave idle for quicker ones."""
+    """How many helpers a query under a rule has to leave idle for quicker ones."""
     if quickest_ms is None or rule.decision_ms < QUICK_RATIO * max(1, quickest_ms):
         return 0
     return int(QUICK_SHARE * len(helpers))
--- a/alderreach/decisions/cell/pools.py
+++ b/alderreach/decisions/cell/pools.py
@@ -1,20 +1,20 @@
-"""Workers that may get new runs, by service, and those that have gained room lately.
+"""Usable workers by service, and those whose capacity was freed recently.
 
-Between two planning passes only a few of a cell's workers change. A step that found no
-room has to look again only at those, so a pass costs by what changed rather than by the
-waiting steps times the workers.
+Between two planning passes only a few of a cell's workers change. A step that did not
+fit before needs to check only those again, so the cost of a pass grows with the number
+of changes rather than with the waiting steps times the workers.
 """
 
 import collections
 
-# Workers also become usable by the mere passing of time, and silent in the same way.
-# Going through thousands of them takes longer, so it is done less often.
+# Workers also become usable or silent with time alone, so all of them are checked
+# periodically, and less often if there are thousands, since that takes longer.
 REFRESH_MS = 20
 REFRESH_MS_PER_WORKER = 0.05
 
 
 class Pools:
-    """The usable ones of ``workers``, a dictionary by id that others keep up."""
+    """The usable workers of ``workers``, a dictionary by id that the caller updates."""
 
     def __init__(self, workers):
         self._workers = workers
@@ -24,18 +24,18 @@
         self._due_ms = 0
 
     def mark_freed(self, target_id):
-        """A run has left a worker, or the worker is larger than before."""
+        """Record freed capacity: a run has left a worker, or the worker has grown."""
         self._freed[target_id] = None
 
     def on_worker_changed(self, target_id):
-        """A worker's record is another one, or the worker is gone."""
+        """Handle a worker whose record changed or that was removed."""
         self.mark_freed(target_id)
         self._due_ms = 0
 
     def refresh(self, now_ms):
-        """Find out which workers are usable, if that is due.
+        """Update the usable workers if that is due.
 
-        Returns the ids of those that have become so, and of those that no longer are.
+        Returns the ids of workers that became usable, and of those that are no longer.
         """
         if now_ms < self._due_ms:
             return set(), set()
@@ -56,14 +56,14 @@
         return appeared, disappeared
 
     def usable(self, service):
-        """Usable workers of a service, roughly those with most processors free first.
+        """Usable workers of a service, those with most free processors first.
 
-        One of them may have become unusable since the last refresh.
+        Both are as of the last refresh; a worker may have become unusable since then.
         """
         return self._usable.get(service, ())
 
     def usable_among(self, service, target_ids):
-        """Those of some workers, by id, that were usable at the last refresh."""
+        """Those of the given workers that were usable at the last refresh."""
         found = []
         for target_id in target_ids:
             if target_id in self._ids:
@@ -73,7 +73,7 @@
         return found
 
     def pop_freed(self):
-        """Usable workers that have gained room since the last call."""
+        """Usable workers that have freed capacity since the last call."""
         freed, self._freed = self._freed, {}
         return [
             self._workers[name]
