--- a/alderreach/decisions/cell/preemption.py
+++ b/alderreach/decisions/cell/preemption.py
@@ -1,14 +1,14 @@
-"""Urgent tasks take the room of less urgent ones that save their progress.
+"""Preemption: urgent tasks displace less urgent ones that save their progress.
 
 Urgent steps would otherwise wait until enough plan tasks end by themselves on the
-workers that they may use; one that needs a whole machine, or a gang that needs several,
-until those happen to be empty.
-
-Only runs that save their progress when they are stopped give way, so what is lost is
-the time until they start again and their restore, not their work. A run gives way to a
-queue of higher priority only, while its own job can still be in time, ``MAX_YIELDS``
-times at most, and only once the urgent step has waited for longer than room usually
-takes to come by itself.
+workers that they may use. A step that needs a whole machine, or a gang that needs
+several, would wait until those happen to be empty.
+
+Only runs that save their progress when they are stopped are preempted. They lose the
+time until their restart and for their restore, but no work. A run yields only to a
+queue of higher priority, only while its own job can still meet its objective, at most
+``MAX_YIELDS`` times, and only once the urgent step has waited for ``PATIENCE_MS``, in
+which enough capacity is usually freed anyway.
 """
 
 import typing
@@ -16,22 +16,23 @@
 from alderreach.core.generated import common
 from alderreach.decisions.cell import choice
 
-# Room mostly comes by itself within this.
+# Within this time, enough capacity is usually freed without preemption.
 PATIENCE_MS = 150
-# Where nothing could give way, it is looked for again after this.
+# If no run could be preempted, the next attempt follows after this.
 RETRY_MS = 50
-# A stop takes up to 400 ms until its end is listed; until then its room is on its way.
+# It takes up to 400 ms until a stopped run is listed as ended. Until then its capacity
+# counts as about to be freed.
 STOP_MS = 400
-# What giving way costs a run: its stop, a new ticket, its restore, some 0.5 s each. A
-# job that has less to spare, by its estimates, would miss its own objective for it.
+# What yielding costs a run: its stop, a new ticket and its restore, some 0.5 s each. A
+# job with less slack, by its estimates, would miss its own objective.
 YIELD_COST_MS = 1500
-# Often enough for two bursts in a long task's life; never without end.
+# Enough for two bursts during a long task; without a limit, the task might never end.
 MAX_YIELDS = 2
 NO_RESOURCES = common.Resources(0, 0, 0)
 
 
 class Victims(typing.NamedTuple):
-    """Runs to stop on a worker, and how many tasks of the step then fit there."""
+    """The runs to stop on a worker, and how many tasks of the step fit there then."""
 
     worker: typing.Any
     runs: list
@@ -39,13 +40,14 @@
 
 
 def choose_victims(workers, step, wanted, may_yield, group=None):
-    """Victims whose stop makes room for ``wanted`` tasks of a step, the cheapest first.
-
-    ``workers`` are those on which the step may start but for want of room, and
-    ``may_yield(run)`` says which runs may be stopped for it. Fewer tasks may find room
-    than are wanted, but for a gang, which starts whole: for a part of one nothing is
-    stopped. What is being stopped already counts as room. On a worker that may hold no
-    more tasks of ``group`` no room counts, or the step would wait beside it.
+    """Victims whose stop frees capacity for ``wanted`` tasks of a step, cheapest first.
+
+    ``workers`` are those on which the step could start if they had the capacity, and
+    ``may_yield(run)`` tells which runs may be stopped for it. The result may be enough
+    for fewer tasks, except for a gang: unless all of it fits, nothing is stopped. Runs
+    that are being stopped already count as free capacity. A worker with the maximum
+    number of tasks of ``group`` is left out; otherwise the step would wait for capacity
+    that it can't use.
     """
     options = []
     for worker in workers:
@@ -70,16 +72,16 @@
 
 
 def _share_stopped(victims):
-    """The share of a worker's scarcest resource that the victims take up."""
+    """The largest share of one of a worker's resources that the victims use."""
     capacity = victims.worker.record.capacity
     stopped = _total((NO_RESOURCES, *(run.demand for run in victims.runs)))
     return max(
-        part / max(1, whole) for part, whole in zip(stopped, capacity, strict=True)
+        amount / max(1, total) for amount, total in zip(stopped, capacity, strict=True)
     )
 
 
 def _cheapest_victims(worker, step, may_yield):
-    """The fewest runs after which a task fits on a worker; None if it never does."""
+    """The fewest runs whose stop lets a task fit on a worker; None if nothing does."""
     demand = step.demand
     closing = [run.demand for run in worker.runs.values() if run.is_closing()]
     free = _total((worker.free(), *closing))
@@ -99,10 +101,10 @@
 
 
 def _drop_unneeded(chosen, free, demand):
-    """Leave out runs, the largest first, without which the demand fits as well.
+    """Leave out runs, largest first, if the demand fits without stopping them.
 
-    A run that was taken for one resource may have become needless by one that was taken
-    for another. Returns the runs that are left and what is free with them.
+    A run that was chosen for one resource may no longer be needed after another was
+    chosen for a second resource. Returns the remaining runs and what they leave free.
     """
     for run in sorted(chosen, key=lambda run: run.demand, reverse=True):
         left = common.Resources(*(a - b for a, b in zip(free, run.demand, strict=True)))
@@ -113,13 +115,13 @@
 
 
 def _frees_missing(run, free, demand):
-    """Whether a run holds some of what is missing."""
+    """Whether a run uses some of the missing resources."""
     missing = _missing(free, demand)
     return any(lacks and held for lacks, held in zip(missing, run.demand, strict=True))
 
 
 def _pick(candidates, missing):
-    """The smallest run that gives all that is missing, or else the largest."""
+    """The smallest run that frees all that is missing, or else the largest."""
     for run in candidates:
         if all(held >= lacks for held, lacks in zip(run.demand, missing, strict=True)):
             return run
@@ -127,7 +129,7 @@
 
 
 def _missing(free, demand):
-    """What has to be freed of each resource."""
+    """How much of each resource has to be freed."""
     return [
         max(0, wanted - available)
         for wanted, available in zip(demand, free, strict=True)
@@ -139,7 +141,7 @@
 
 
 def _fit_count(free, demand):
-    """How many times a demand fits into what is free; once at the least."""
+    """How many times a demand fits into the free resources, at least once."""
     limits = [
         available // wanted
         for available, wanted in zip(free, demand, strict=True)
--- a/alderreach/decisions/cell/waiting.py
+++ b/alderreach/decisions/cell/waiting.py
@@ -1,14 +1,14 @@
-"""What a step that could run waits for, in a word that a log can hold.
+"""The cause for which a ready step waits, as one word for logs and metrics.
 
-The word is the first of these that holds:
+The cause is the first of these that applies:
 
-- ``WORKERS``: no worker in good health could ever hold one of its tasks.
-- ``ITSELF``: a gang of which some tasks still run or are done.
-- ``TICKETS``: it may run on some, but their tickets have run out and are renewed.
-- ``ANSWER``: room is short on those that may run it; others are being asked about.
-- ``QUESTION``: so it is, nobody asked about others, and no question is out.
-- ``PERMISSION``: everybody was asked about, and nobody may run it.
-- ``ROOM``: all that may run it have too little room.
+- ``WORKERS``: no healthy worker could hold one of its tasks, even if idle.
+- ``ITSELF``: a gang of which some tasks are still running or done.
+- ``TICKETS``: the tickets for its permitted workers have expired and are renewed.
+- ``ANSWER``: its permitted workers, if any, lack capacity; others are being queried.
+- ``QUESTION``: as before, but the others are not being queried.
+- ``PERMISSION``: it was denied all workers.
+- ``ROOM``: its permitted workers lack capacity, and no others are left to query.
 
 >>> cause(WaitState(31, 120, 12, 12, 9, 16, 92, False, True))
 'question'
@@ -26,36 +26,36 @@
 
 
 class WaitState(typing.NamedTuple):
-    """How a waiting step stands; counts of tasks and of workers."""
+    """The state of a waiting step, as counts of tasks and workers."""
 
     waiting: int
     """Tasks that have not started."""
     usable: int
-    """Workers in good health that could hold a task if they were empty."""
+    """Healthy workers that could hold a task if they were idle."""
     granted: int
-    """Those of them that the step was ever let run on; all if it has no such rule."""
+    """Those of them that the step was ever permitted; all if it has no such rule."""
     permitted: int
-    """Those of them with a ticket that is good now; all if it has no such rule."""
+    """Those of them with a valid ticket; all if it has no such rule."""
     with_room: int
-    """Those of the permitted on which one more task fits now."""
+    """Those of the permitted workers on which one more task fits now."""
     denied: int
-    """Workers that were turned down, also such as are not usable any more."""
+    """Workers that the step was denied, including those that are no longer usable."""
     unasked: int
-    """Usable workers that the permission service was not asked about."""
+    """Usable workers for which the permission service was not queried."""
     is_asking: bool
     is_gang: bool
     is_partly_placed: bool = False
-    """Whether other tasks of the step run or are done, which keeps a gang waiting."""
+    """Whether other tasks of the step are running or done, so that a gang waits."""
 
 
-def cause(standing):
-    """What a step waits for, as one of this module's words."""
-    if not standing.usable:
+def cause(state):
+    """The cause for which a step waits, one of this module's constants."""
+    if not state.usable:
         return WORKERS
-    if standing.is_gang and standing.is_partly_placed:
+    if state.is_gang and state.is_partly_placed:
         return ITSELF
-    if standing.granted and not standing.permitted:
+    if state.granted and not state.permitted:
         return TICKETS
-    if standing.unasked:
-        return ANSWER if standing.is_asking else QUESTION
-    return ROOM if standing.granted else PERMISSION
+    if state.unasked:
+        return ANSWER if state.is_asking else QUESTION
+    return ROOM if state.granted else PERMISSION
--- a/alderreach/decisions/cell/workers.py
+++ b/alderreach/decisions/cell/workers.py
@@ -1,16 +1,16 @@
-"""What each worker has, what it runs, and until when it may go on without its leader.
+"""A leader's view of the workers: their resources, runs, leases and incarnations.
 
-Room is taken when a start is decided and given back only when the run's end is known:
-listed by the worker, or proved by a lease that has lapsed. A run is in one of these
-states:
+Resources are reserved when a start is decided, and released only when the end of the
+run is known: listed by the worker, or proved by an expired lease. A run is in one of
+these states:
 
-- ``ORDERED``: recorded; the worker has not confirmed it yet.
-- ``RUNNING``: the worker said so.
-- ``CLOSING``: a stop is under way, or wanted.
+- ``ORDERED``: recorded, but not yet confirmed by the worker.
+- ``RUNNING``: confirmed by the worker.
+- ``CLOSING``: to be stopped; the worker has not confirmed the stop yet.
 - ``CLOSED``: the worker confirmed the stop; a poll sent after that tells how it ended.
 
-A run that is *abandoned* was given up by its task, which may run elsewhere beside it;
-here it keeps its room until its end is known like that of any other.
+The task of an *abandoned* run may be running elsewhere at the same time. Like any other
+run, an abandoned one keeps its resources until its end is known.
 """
 
 from alderreach.core import orders
@@ -22,27 +22,27 @@
 CLOSING = "closing"
 CLOSED = "closed"
 
-# A worker's clock may run 2 % slow, so a lease lasts that much longer for the leader.
+# A worker's clock may be 2 % slow, so the leader waits longer for the end of a lease.
 CLOCK_DRIFT_FACTOR = 1.03
-# Covers rounding, and the time between reading the clock and the call's leaving.
+# Covers rounding, and the time between reading the clock and sending the call.
 LEASE_MARGIN_MS = 400
-# Two missed heartbeats of 1.5 s: a worker that is silent for longer gets nothing new.
+# Two missed heartbeats of 1.5 s. A worker that is silent for longer gets no new runs.
 SILENT_AFTER_MS = 4000
-# An answer's clock is older than its arrival by the call's time limit and some
-# queueing; a clock that is further behind than this is that of another life.
+# The clock in an answer lags behind its arrival by the call's time limit and some
+# queueing at most. A clock further behind than this belongs to another incarnation.
 MAX_CLOCK_LAG_MS = 3000
-# The longest time after which an order without an answer was seen carried out is 12 s.
+# An order without an answer may still be carried out up to 12 s later.
 LATE_START_MS = 15_000
-# An order or poll without an answer makes a worker doubtful until the next answer.
+# After one order or poll without an answer a worker is not used until the next answer.
 DOUBTFUL_FAILURES = 1
 
 
 class Run:
-    """One run of a task as its leader sees it; ``pace`` is None while not known.
+    """One run of a task as its leader sees it; ``pace`` is None while unknown.
 
-    ``is_whole`` says that this leader started it, and from the beginning of its work,
-    ``is_confirmed`` that the worker has said to this leader that it runs, and
-    ``is_broken_off`` that the connection ended while the answer to its start was due.
+    ``is_fully_observed`` is set if this leader started it, and not from a checkpoint,
+    ``is_confirmed`` if the worker has told this leader that it runs, and
+    ``lost_connection_at_start`` if the connection closed before its start was answered.
     """
 
     __slots__ = (
@@ -108,20 +108,21 @@
         )
 
     def is_closing(self):
-        """Whether a stop of it is wanted or under way."""
+        """Whether the run is to be stopped or has been."""
         return self.state in (CLOSING, CLOSED)
 
 
 class Worker:
-    """One life of a worker.
-
-    ``shown`` says whether it saw the leader's epoch, ``awaits_list`` that a new life
-    began and its first list will tell which runs it has, ``life`` counts such lives,
-    ``is_refusing`` that nothing listened there at the last call, and ``poll`` is the
-    poll that is under way. ``failed_ms`` is when the first call failed since the last
-    answer. ``vanished`` maps (key, run) of runs that were given up without being known
-    to be over to how they ended if this life has; ``former_ends`` does so for those
-    that ran in the life before.
+    """A worker as its leader sees it.
+
+    ``incarnation`` counts the incarnations that the leader noticed, and ``awaits_list``
+    is set from the start of one until its first list tells which runs it has.
+    ``has_seen_epoch`` is set once the worker has seen the leader's epoch, and
+    ``is_refusing`` if nothing listened there at the last call. ``poll`` is the open
+    poll, and ``first_failure_ms`` the time of the first failed call since the last
+    answer. ``runs_in_doubt`` maps the (key, run) of runs that were given up, but may
+    not be over, to how they ended if this incarnation is over. ``previous_ends`` does
+    the same for the runs of the previous incarnation.
     """
 
     def __init__(self, record, now_ms, lease_end_ms):
@@ -159,9 +160,9 @@
         self.health = health.Record()
 
     def record_call_outcome(self, outcome, now_ms):
-        """Learn from whether a call was answered: a worker that misses one is doubtful.
+        """Update the worker's health by the outcome of a call.
 
-        Answers that prove nothing about its health leave that as it was.
+        Outcomes that prove nothing about its health leave it unchanged.
         """
         self.is_refusing = outcome == orders.NOT_LISTENING
         if outcome in (orders.UNKNOWN, *orders.NOT_CONNECTED):
@@ -171,25 +172,25 @@
             self.first_failure_ms = None
 
     def record_failed_call(self, now_ms):
-        """A call had no answer, or none that helps."""
+        """Count a call without an answer, or without a usable one."""
         if not self.failures:
             self.first_failure_ms = now_ms
         self.failures += 1
 
     def expect_late_start(self, run, now_ms):
-        """A start of this run got no answer and may be carried out seconds later."""
+        """Record that an unanswered start of a run may be carried out seconds later."""
         self.unanswered_starts[(str(run.key), run.run)] = now_ms + LATE_START_MS
 
     def late_starts(self, now_ms):
-        """Starts that may still be carried out, as (task, run)."""
+        """Unanswered starts that may still be carried out, as (task, run)."""
         late = {key: ms for key, ms in self.unanswered_starts.items() if ms > now_ms}
         self.unanswered_starts = late
         return list(late)
 
     def begin_incarnation(self):
-        """Forget what was known of the life before: its ends, its epoch, its clock.
+        """Reset what was known of the previous incarnation: its ends, epoch and clock.
 
-        A poll under way may be answered by either life, so its answer won't count.
+        An open poll may be answered by either incarnation, so its answer is ignored.
         """
         self.incarnation += 1
         self.poll_sent_ms = self.poll = None
@@ -199,7 +200,7 @@
         self.clock_offset_ms = None
 
     def is_clock_of_other_incarnation(self, clock_ms, now_ms):
-        """Whether a clock is too far behind to be the one that is known."""
+        """Whether a clock is too far behind to be that of the current incarnation."""
         if self.clock_offset_ms is None:
             return False
         aged = self.clock_offset_ms - (CLOCK_DRIFT_FACTOR - 1) * (
@@ -208,10 +209,10 @@
         return clock_ms - now_ms < aged - MAX_CLOCK_LAG_MS
 
     def update_clock_offset(self, clock_ms, now_ms):
-        """Learn how far the worker's clock is ahead of ours; never too far ahead.
+        """Update the offset of the worker's clock, which is never estimated too high.
 
-        An answer is older than its arrival, so a sample is at most too low. An earlier,
-        higher sample is kept while its clock can't have fallen behind it.
+        An answer is older than its arrival, so a sample can only be too low. An earlier
+        sample that was higher is kept, reduced by the maximum clock drift since then.
         """
         sample = clock_ms - now_ms
         if self.clock_offset_ms is not None:
@@ -222,17 +223,17 @@
         self.clock_offset_ms, self.clock_offset_at_ms = sample, now_ms
 
     def grant_lease(self, lease_ms, now_ms):
-        """Grant a lease from now on; returns its end on the worker's clock."""
+        """Grant a lease that starts now; returns its end by the worker's clock."""
         lease_end_ms = now_ms + int(lease_ms * CLOCK_DRIFT_FACTOR) + LEASE_MARGIN_MS
         self.lease_end_ms = max(self.lease_end_ms, lease_end_ms)
         return now_ms + self.clock_offset_ms + lease_ms
 
     def is_planned_to_end(self):
-        """Whether it has said that it drains or ends."""
+        """Whether the worker has announced that it drains or ends."""
         return self.is_leaving or self.record.state == "draining"
 
     def is_usable(self, now_ms):
-        """Whether new runs may be placed here."""
+        """Whether new runs may be placed on this worker."""
         return (
             self.has_seen_epoch
             and not self.is_leaving
@@ -243,11 +244,11 @@
         )
 
     def hold_back(self, until_ms):
-        """Have nothing more placed here before a moment."""
+        """Place no new runs on this worker before ``until_ms``."""
         self.held_back_until_ms = max(self.held_back_until_ms, until_ms)
 
     def has_capacity(self, step):
-        """Whether a task of a step fits beside what is here."""
+        """Whether one more task of a step fits on this worker."""
         capacity, used, demand = self.record.capacity, self.used, step.demand
         cpu_fits = (
             step.best_effort or used[0] + demand.cpu_millis <= capacity.cpu_millis
@@ -259,7 +260,7 @@
         )
 
     def free(self):
-        """What is not taken, as Resources."""
+        """The free resources."""
         capacity, used = self.record.capacity, self.used
         return common.Resources(
             capacity.cpu_millis - used[0],
@@ -268,17 +269,17 @@
         )
 
     def add(self, run):
-        """Take room for a run."""
+        """Add a run and reserve its resources."""
         self.runs[run.key] = run
         self._update_used(run, 1)
 
     def remove(self, run):
-        """Give a run's room back."""
+        """Remove a run and release its resources."""
         del self.runs[run.key]
         self._update_used(run, -1)
 
     def count_of(self, group):
-        """How many tasks of a step's occurrence are here."""
+        """How many tasks of a step's occurrence run on this worker."""
         return sum(key[:3] == group for key in self.runs)
 
     def _update_used(self, run, sign):
@@ -289,7 +290,7 @@
 
 
 def rack_of(labels):
-    """The rack among a worker's labels: the last one, after its kind.
+    """The rack in a worker's labels, which is the last one, after its kind.
 
     >>> rack_of(["a", "r1-3"])
     'r1-3'
