--- a/alderreach/decisions/cell/permissions.py
+++ b/alderreach/decisions/cell/permissions.py
@@ -32,8 +32,8 @@
 
 # A start takes a synced log entry and a call, both before its ticket expires.
 TICKET_MARGIN_MS = 200
-# The maximum number of new workers in a query. Longer queries take longer to decide, and
-# usually a third or more of the workers are permitted.
+# The maximum number of new workers in a query. A longer query takes longer to decide,
+# and usually a third or more of the workers are permitted.
 MAX_NEW_PER_QUERY = 30
 # The permission service rejects a query that names more workers. Such a query would be
 # repeated without end, and its step never placed.
