--- a/alderreach/decisions/admission.py
+++ b/alderreach/decisions/admission.py
@@ -53,7 +53,7 @@
     return int(wait_ms * (1 + RETRY_SPREAD * random.random()))
 
 
-def takes_place(own_ms, heaviest_ms):
+def may_displace(own_ms, heaviest_ms):
     """Whether a newcomer may displace the newest of the team with most waiting.
 
     Both are slot time that waits, by weight, the newcomer's own included. Places are
--- a/alderreach/decisions/backlog.py
+++ b/alderreach/decisions/backlog.py
@@ -38,7 +38,7 @@
         "shape",
         "team",
         "turn",
-        "vain_savings",
+        "unused_savings",
     )
 
     def __init__(self, key, shape):
@@ -47,7 +47,7 @@
         self.is_gang = kind == "gang"
         self.is_urgent = self.priority >= jobs.URGENT_PRIORITY
         self.quota_since_ms = None
-        self.vain_savings = 0
+        self.unused_savings = 0
         self.shape = shape
         self.jobs = collections.OrderedDict()
         self.blocked_since_ms = None
--- a/alderreach/decisions/draining.py
+++ b/alderreach/decisions/draining.py
@@ -62,7 +62,7 @@
         due = [each for each in due if each not in unable]
 
 
-def end_vain_savings(state, lines):
+def end_unused_savings(state, lines):
     """Save no more quota for lines that lack room and have no reservation.
 
     ``lines`` have the quota they need. Their teams' other work is kept back for them,
@@ -118,7 +118,7 @@
     found = []
     window = max(WINDOW, WINDOW_PER_TASK * need)
     for worker in candidates(state, demand, window):
-        later = resources.copies(demand, worker.drained())
+        later = resources.copies(demand, worker.drained_capacity())
         if worker.held_for is None and later:
             now = resources.copies(demand, worker.free)
             found.append((-now / later, worker.order, worker, max(now, later)))
@@ -159,6 +159,6 @@
         run.started_ms + run.job.spec.expected_run_ms
         for worker in workers
         for run in worker.tasks
-        if not run.job.pins()
+        if not run.job.is_pinned()
     ]
     return max(ends, default=state.now_ms)
--- a/alderreach/decisions/endings.py
+++ b/alderreach/decisions/endings.py
@@ -14,17 +14,17 @@
 # A second try survives a fault of the worker, a third the bad luck of two of them.
 FAILURES_ALLOWED = 3
 # A task lost so often with its worker has probably caused it.
-LOSSES_ALLOWED = 4
+MAX_LOSSES = 4
 FAILURES_IN_A_ROW = 32
 WORKERS_TO_BLAME_JOB = 3
-FIRST_PAUSE_MS = 100
-LONGEST_PAUSE_MS = 30_000
+INITIAL_PAUSE_MS = 100
+MAX_PAUSE_MS = 30_000
 # A service that ran for this long has recovered.
 HEALTHY_MS = 60_000
 YOUNG_MS = 60_000
 
 
-def end(state, judge, poison_jobs, run, outcome):
+def handle_end(state, judge, poison_jobs, run, outcome):
     """Take in how a run ended."""
     job = run.job
     state.release(run)
@@ -36,9 +36,9 @@
     else:
         judge.ended_otherwise(run)
     if outcome == "lost":
-        poison_jobs.lost(run)
+        poison_jobs.on_run_lost(run)
     elif outcome in ("finished", "failed"):
-        poison_jobs.survived(job)
+        poison_jobs.clear_suspicion(job)
     if job.is_service():
         # Also of a task that is no longer wanted: the service may grow again, and a
         # worker takes a repeated attempt for one that it has started already.
@@ -51,7 +51,7 @@
         _end_task(state, run, outcome)
 
 
-def end_unseen(state, job, number, attempt, outcome):
+def record_past_end(state, job, number, attempt, outcome):
     """Note an end that an earlier owner saw of a task that runs nowhere now."""
     if job.is_service() or outcome != "finished":
         job.attempts[number] = max(attempt, job.attempts.get(number, 0))
@@ -68,7 +68,7 @@
     for number, count in losses.items():
         job.losses[number] = count
         is_open = job.waiting and number not in job.settled and number not in job.runs
-        if count >= LOSSES_ALLOWED and is_open:
+        if count >= MAX_LOSSES and is_open:
             job.claim(number)
             _give_up_lost(job, number)
     if not job.waiting:
@@ -84,19 +84,19 @@
 
 def _count_end(job, run, outcome):
     if outcome == "finished":
-        job.ends += 1
-        job.failed_in_a_row = 0
+        job.ended_runs += 1
+        job.consecutive_failures = 0
         job.failed_on.clear()
-        job.avoid = ""
+        job.avoided_worker_id = ""
     elif outcome == "failed":
-        job.ends += 1
-        job.failed_ends += 1
-        job.failed_in_a_row += 1
-        job.avoid = run.worker_id
+        job.ended_runs += 1
+        job.failed_runs += 1
+        job.consecutive_failures += 1
+        job.avoided_worker_id = run.worker_id
         if len(job.failed_on) < WORKERS_TO_BLAME_JOB:
             job.failed_on.add(run.worker_id)
     elif outcome == "refused":
-        job.avoid = run.worker_id
+        job.avoided_worker_id = run.worker_id
 
 
 def _end_service(state, run, outcome):
@@ -115,7 +115,7 @@
     job = run.job
     if state.now_ms - run.started_ms > HEALTHY_MS:
         job.restarts = 0
-    pause_ms = min(FIRST_PAUSE_MS << min(job.restarts, 16), LONGEST_PAUSE_MS)
+    pause_ms = min(INITIAL_PAUSE_MS << min(job.restarts, 16), MAX_PAUSE_MS)
     job.restarts += 1
     job.not_before_ms = state.now_ms + pause_ms
     state.backlog.remove(job)
@@ -153,7 +153,7 @@
     """Give up a task that was lost too often; the count stays for the next owner."""
     job.failed += 1
     job.settle(number)
-    job.losses[number] = LOSSES_ALLOWED
+    job.losses[number] = MAX_LOSSES
 
 
 def _is_given_up(state, run, outcome):
@@ -163,7 +163,7 @@
         return job.failures[number] >= FAILURES_ALLOWED
     if _is_lost_young(state, run, outcome):
         job.losses[number] = job.losses.get(number, 0) + 1
-        return job.losses[number] >= LOSSES_ALLOWED
+        return job.losses[number] >= MAX_LOSSES
     return False
 
 
@@ -173,7 +173,9 @@
 
 def _is_hopeless(state, job):
     enough = min(WORKERS_TO_BLAME_JOB, len(state.cell.workers))
-    return job.failed_in_a_row >= FAILURES_IN_A_ROW and len(job.failed_on) >= enough
+    return (
+        job.consecutive_failures >= FAILURES_IN_A_ROW and len(job.failed_on) >= enough
+    )
 
 
 def _give_up_rest(state, job):
--- a/alderreach/decisions/gangs.py
+++ b/alderreach/decisions/gangs.py
@@ -25,16 +25,16 @@
         state.ledger.note_used_up(account, line, whole, state.now_ms)
         job.retry_ms = state.now_ms + RETRY_MS
         return 1
-    workers = gather(state, line.shape, wanted, is_suspect=job.limit > 0)
+    workers = find_workers(state, line.shape, wanted, is_suspect=job.limit > 0)
     if workers is None:
         job.retry_ms = state.now_ms + RETRY_MS
-        note_blocked(state, job)
+        mark_blocked(state, job)
         return 1 + wanted // TASKS_PER_SEARCH
-    start_whole(state, job, workers)
+    start_all(state, job, workers)
     return wanted
 
 
-def note_blocked(state, job):
+def mark_blocked(state, job):
     """Remember since when a gang has found no room."""
     if job.blocked_since_ms is None:
         job.blocked_since_ms = state.now_ms
@@ -42,7 +42,7 @@
         job.line.blocked_since_ms = state.now_ms
 
 
-def gather(state, shape, wanted, is_suspect=False):
+def find_workers(state, shape, wanted, is_suspect=False):
     """Return one worker for each of ``wanted`` tasks, None if there aren't as many.
 
     A gang that ``is_suspect`` goes beside no other suspect if it can.
@@ -56,17 +56,17 @@
         if is_suspect:
             apart = [w for w in workers if not poison_jobs.is_beside_suspect(w)]
             workers = apart or workers
-        worker = placement.pack(workers, demand)
+        worker = placement.best_fit(workers, demand)
         number = min(wanted - len(taken), resources.copies(demand, worker.free))
         for _ in range(number):
-            cell.take(worker, demand)
+            cell.allocate(worker, demand)
             taken.append(worker)
     for worker in taken:
         cell.undo(shape, worker)
     return taken if len(taken) == wanted else None
 
 
-def start_whole(state, job, workers):
+def start_all(state, job, workers):
     """Start the waiting tasks of a gang, one on each of ``workers``."""
     job.blocked_since_ms = None
     if job.line is not None:
--- a/alderreach/decisions/impossible.py
+++ b/alderreach/decisions/impossible.py
@@ -5,10 +5,10 @@
 wait without being told.
 
 A job is checked when it is submitted and again when its line has been blocked for
-``SETTLE_MS``; the check compares it with the sizes workers come in, of which there are
+``CONFIRM_AFTER_MS``; the check compares it with the sizes workers come in, of which there are
 few. Parked jobs are looked at again only after a worker or a quota has come, at most
 ``CHECKS_PER_TICK`` in a tick. A job is named after it has been parked for
-``SETTLE_MS``: after a takeover the workers announce themselves one by one, and a job is
+``CONFIRM_AFTER_MS``: after a takeover the workers announce themselves one by one, and a job is
 not impossible because the largest of them comes last. Naming is not final; a larger
 worker lets the job wait again.
 """
@@ -19,7 +19,7 @@
 from alderreach.decisions import actions, resources
 
 # Workers announce themselves every second; ten are the slowest of them twice over.
-SETTLE_MS = 10_000
+CONFIRM_AFTER_MS = 10_000
 CHECKS_PER_TICK = 128
 
 
@@ -44,14 +44,14 @@
         """Take a job out of the way until what it lacks comes."""
         job.parked = reason
         self._state.backlog.remove(job)
-        job.name_ms = self._state.now_ms + SETTLE_MS
+        job.report_ms = self._state.now_ms + CONFIRM_AFTER_MS
         self._parked[job.spec.job_id] = job
-        heapq.heappush(self._unnamed, (job.name_ms, job.spec.job_id))
+        heapq.heappush(self._unnamed, (job.report_ms, job.spec.job_id))
 
-    def condemn(self, job, reason):
+    def park_permanently(self, job, reason):
         """Park a job for good and name it at once."""
         job.parked = reason
-        job.named = True
+        job.reported = True
         self._state.backlog.remove(job)
         self._state.decisions.append(actions.Impossible(job.spec.job_id, reason))
 
@@ -59,7 +59,7 @@
         """A parked job was cancelled."""
         self._parked.pop(job.spec.job_id, None)
 
-    def supply_changed(self):
+    def on_supply_changed(self):
         """A worker or a quota has come: look at what is parked again."""
         self._to_check = len(self._parked)
 
@@ -82,7 +82,7 @@
             job.parked = reason
         else:
             job.parked = ""
-            job.named = False
+            job.reported = False
             # A review that found the job parked was the last; without another, what it
             # was to end, as a probation, would never end.
             self._state.review_at(self._state.now_ms, job)
@@ -93,7 +93,7 @@
         since_ms = line.blocked_since_ms
         if since_ms is None:
             since_ms = line.quota_since_ms
-        if now_ms - max(since_ms, line.checked_ms) < SETTLE_MS:
+        if now_ms - max(since_ms, line.checked_ms) < CONFIRM_AFTER_MS:
             return
         line.checked_ms = now_ms
         for job in list(line.jobs.values())[:CHECKS_PER_TICK]:
@@ -101,7 +101,7 @@
             if reason:
                 self.park(job, reason)
 
-    def name_due(self):
+    def report_due(self):
         """Name the jobs that have been parked for long enough."""
         state = self._state
         for _ in range(CHECKS_PER_TICK):
@@ -109,8 +109,8 @@
                 return
             due_ms, job_id = heapq.heappop(self._unnamed)
             job = self._parked.get(job_id)
-            if job is not None and job.name_ms == due_ms:
-                job.named = True
+            if job is not None and job.report_ms == due_ms:
+                job.reported = True
                 state.decisions.append(actions.Impossible(job_id, job.parked))
 
 
--- a/alderreach/decisions/jobs.py
+++ b/alderreach/decisions/jobs.py
@@ -53,14 +53,14 @@
 
     __slots__ = (
         "attempts",
-        "avoid",
+        "avoided_worker_id",
         "blocked_since_ms",
         "cancelled",
         "declared",
-        "ends",
+        "ended_runs",
         "failed",
-        "failed_ends",
-        "failed_in_a_row",
+        "failed_runs",
+        "consecutive_failures",
         "failed_on",
         "failures",
         "finished",
@@ -71,8 +71,8 @@
         "line",
         "losses",
         "lost_on",
-        "name_ms",
-        "named",
+        "report_ms",
+        "reported",
         "next_number",
         "not_before_ms",
         "overran",
@@ -115,16 +115,16 @@
         self.retry_ms = 0
         self.blocked_since_ms = None
         self.parked = ""
-        self.name_ms = 0
-        self.named = False
+        self.report_ms = 0
+        self.reported = False
         self.given_up = False
         self.overran = False
         self.limit = 0
-        self.ends = 0
-        self.failed_ends = 0
-        self.failed_in_a_row = 0
+        self.ended_runs = 0
+        self.failed_runs = 0
+        self.consecutive_failures = 0
         self.failed_on = set()
-        self.avoid = ""
+        self.avoided_worker_id = ""
         self.losses = {}
         self.lost_on = []
         self.judge_ms = None
@@ -143,7 +143,7 @@
         """Whether it goes before all normal work and may displace it."""
         return self.spec.priority >= URGENT_PRIORITY
 
-    def pins(self):
+    def is_pinned(self):
         """Whether its tasks can't be counted on to end soon or to give way."""
         return self.is_service() or self.is_urgent()
 
--- a/alderreach/decisions/ordering.py
+++ b/alderreach/decisions/ordering.py
@@ -41,7 +41,7 @@
         self._teams = {}
         self._overall_ms = None
 
-    def declare(self, declared_ms):
+    def set_declared(self, declared_ms):
         """Take what the configuration says now."""
         self._declared_ms = declared_ms or RUN_DEFAULT_MS
 
@@ -85,7 +85,7 @@
         self.cost_ms = 0.0
 
 
-class WaitingLine:
+class RequestQueue:
     """Requests that wait for a slot of one service."""
 
     def __init__(self):
@@ -119,7 +119,7 @@
         group.cost_ms += waiting.cost_ms
 
     def head(self, now_ms, skipped=()):
-        """The request to go next, or None; ``take`` then takes it out.
+        """The request to go next, or None; ``pop`` then takes it out.
 
         ``skipped`` holds request ids of heads that can't go now; they are those that
         avoid a runner, and others of their team may use it.
@@ -138,7 +138,7 @@
         group.queues[waiting.ask.team].remove(waiting)
         self._taken(group, waiting)
 
-    def take(self, waiting):
+    def pop(self, waiting):
         """Take out what ``head`` gave: it goes now, and its team pays for it."""
         team = waiting.ask.team
         # Not the tag of who goes: urgent work runs ahead of its share, and a virtual
@@ -197,7 +197,7 @@
         queues = (group.queues.get(team, ()) for group in self._classes.values())
         return sum(each.cost_ms for queue in queues for each in queue)
 
-    def drop_newest(self, team):
+    def pop_newest(self, team):
         """Take out the request of a team that came last, of the class with too many.
 
         The floor of the rest holds for places in the line too: a flood of urgent
--- a/alderreach/decisions/outliers.py
+++ b/alderreach/decisions/outliers.py
@@ -11,7 +11,7 @@
 - A runner that fails more than ``ERROR_SHARE`` of its requests, while the median peer
   fails less than half of that, is ejected for a time that doubles up to
   ``EJECT_MOST_MS``, then probed with ``PROBE_WEIGHT``. No more than
-  ``EJECTED_FRACTION`` are ejected at once: when more fail, the fault is the service's,
+  ``MAX_EJECTED_FRACTION`` are ejected at once: when more fail, the fault is the service's,
   and sending everything to the few that are left would fell them too.
 - A runner to which no connection comes about is left alone for ``DOWN_MS``, whatever
   the fraction: it can't answer anything, and half of the targets may go at once.
@@ -28,7 +28,7 @@
 LEARN_SHARE = 0.15
 LEAST_SAMPLES = 5
 ERROR_SHARE = 0.5
-EJECTED_FRACTION = 0.34
+MAX_EJECTED_FRACTION = 0.34
 EJECT_FIRST_MS = 5000
 EJECT_MOST_MS = 60_000
 PROBE_WEIGHT = 0.05
@@ -95,7 +95,7 @@
             target.run_ms = run_ms
         target.run_ms += LEARN_SHARE * (run_ms - target.run_ms)
 
-    def unreachable(self, target_id, now_ms):
+    def on_unreachable(self, target_id, now_ms):
         """No connection to a runner came about."""
         target = self._targets.get(target_id)
         if target is None:
@@ -129,7 +129,7 @@
         shares = [target.error_share for target in self._targets.values()]
         if len(shares) < 2 or statistics.median(shares) >= ERROR_SHARE / 2:
             return []
-        most = int(EJECTED_FRACTION * len(shares))
+        most = int(MAX_EJECTED_FRACTION * len(shares))
         changes = []
         by_share = sorted(self._targets.items(), key=lambda e: -e[1].error_share)
         for target_id, target in by_share:
--- a/alderreach/decisions/placement.py
+++ b/alderreach/decisions/placement.py
@@ -34,12 +34,12 @@
     return cpu + memory + IMBALANCE_WEIGHT * abs(cpu - memory) + idle
 
 
-def pack(workers, demand):
+def best_fit(workers, demand):
     """Return the worker that ``demand`` leaves the least room on."""
     return min(workers, key=lambda worker: leftover(worker, demand))
 
 
-def relax(workers, demand):
+def worst_fit(workers, demand):
     """Return the worker that ``demand`` leaves the most room on."""
     return max(workers, key=lambda worker: leftover(worker, demand) - worker.free[2])
 
--- a/alderreach/decisions/poison_jobs.py
+++ b/alderreach/decisions/poison_jobs.py
@@ -25,24 +25,24 @@
 INCIDENTS = 3
 # Losses of other workers that make it a rack's or a switch's.
 OTHERS = 2
-REVIEW_MS = 5_000
+REVIEW_INTERVAL_MS = 5_000
 LOSSES_KEPT = 64
 
 
 class PoisonJobs:
     """Judges jobs by the workers that are lost under them."""
 
-    def __init__(self, state, condemn):
+    def __init__(self, state, park_permanently):
         self._state = state
-        self._condemn = condemn
+        self._condemn = park_permanently
         self._suspects = {}
         self._lost = collections.deque(maxlen=LOSSES_KEPT)
 
-    def worker_removed(self, worker_id):
+    def on_worker_removed(self, worker_id):
         """A worker was lost or taken away."""
         self._lost.append((self._state.now_ms, worker_id))
 
-    def lost(self, run):
+    def on_run_lost(self, run):
         """A run was lost with its worker."""
         job, now_ms = run.job, self._state.now_ms
         if now_ms - run.started_ms > WINDOW_MS:
@@ -56,7 +56,7 @@
         """A job is over."""
         self._suspects.pop(job, None)
 
-    def survived(self, job):
+    def clear_suspicion(self, job):
         """A task of a job has ended without harm."""
         job.incidents = 0
         self._suspects.pop(job, None)
@@ -71,9 +71,9 @@
             self._judge(job)
         if job.limit and not job.parked:
             if self._has_survivor(job):
-                self.survived(job)
+                self.clear_suspicion(job)
             else:
-                self._state.review_at(now_ms + REVIEW_MS, job)
+                self._state.review_at(now_ms + REVIEW_INTERVAL_MS, job)
 
     def _judge(self, job):
         mine, job.lost_on, job.judge_ms = job.lost_on, [], None
@@ -99,7 +99,7 @@
         """End the probation of those who were only near what is now explained."""
         for suspect, workers in list(self._suspects.items()):
             if workers <= explained:
-                self.survived(suspect)
+                self.clear_suspicion(suspect)
 
     def _has_survivor(self, job):
         # Runs are kept in the order of their starts, so the first is the oldest.
--- a/alderreach/decisions/pool.py
+++ b/alderreach/decisions/pool.py
@@ -63,11 +63,11 @@
         """Whether new work may be placed here at all."""
         return self.is_open and not self.quarantined and not self.uncertain
 
-    def takes_work(self):
+    def accepts_work(self):
         """Whether new work that holds no reservation may be placed here."""
         return self.is_usable() and self.held_for is None
 
-    def drained(self):
+    def drained_capacity(self):
         """Return what it will have free once all that isn't pinned has ended."""
         kept = resources.plus(self.pinned, self.excess)
         return resources.minus(self.capacity, kept)
@@ -102,7 +102,7 @@
         self._leave(worker)
         self.total = resources.minus(self.total, worker.capacity)
 
-    def take(self, worker, demand):
+    def allocate(self, worker, demand):
         """Give ``demand`` out on a worker; False, and nothing, if it doesn't fit."""
         if not resources.fits(demand, worker.free):
             return False
@@ -115,17 +115,17 @@
         self.index.move(worker)
         self._tell_reservation(worker)
 
-    def give_back(self, worker, demand):
+    def release(self, worker, demand):
         """Return what ``take`` or ``charge`` gave out."""
         worker.free = resources.plus(worker.free, demand)
-        self.reconsider(worker)
+        self.reindex(worker)
 
     def undo(self, shape, worker):
         """Return what a vain attempt took for a shape; no other shape has searched."""
         worker.free = resources.plus(worker.free, shape.demand)
         self.index.undo(shape, worker)
 
-    def reconsider(self, worker):
+    def reindex(self, worker):
         """Index a worker that may have gained room or been opened or closed."""
         self.index.grow(worker)
         self._tell_reservation(worker)
--- a/alderreach/decisions/quarantine.py
+++ b/alderreach/decisions/quarantine.py
@@ -126,16 +126,16 @@
             return
         self._quarantined.add(worker_id)
         worker.quarantined = True
-        self._state.cell.reconsider(worker)
+        self._state.cell.reindex(worker)
         self._forgive(record)
         self._probe_later(worker_id, record)
 
     def _forgive(self, record):
         """Take the failures that the worker caused off its jobs' records."""
         for job, numbers in record.strikes.items():
-            job.ends -= len(numbers)
-            job.failed_ends -= len(numbers)
-            job.failed_in_a_row = max(0, job.failed_in_a_row - len(numbers))
+            job.ended_runs -= len(numbers)
+            job.failed_runs -= len(numbers)
+            job.consecutive_failures = max(0, job.consecutive_failures - len(numbers))
             for number in numbers:
                 if job.failures.get(number):
                     job.failures[number] -= 1
@@ -167,14 +167,14 @@
         record.wait_ms = min(2 * record.wait_ms, LONGEST_WAIT_MS)
         self._quarantined.discard(worker.worker_id)
         worker.quarantined = False
-        self._state.cell.reconsider(worker)
+        self._state.cell.reindex(worker)
 
     def _may_probe(self, worker, record, line):
         if line.is_gang or not worker.is_open or worker.uncertain:
             return False
         job = line.head()
         account = self._state.ledger.account(line.team)
-        suspect = job.failed_in_a_row or job in record.strikes
+        suspect = job.consecutive_failures or job in record.strikes
         if suspect or not self._state.ledger.allows(account, line.demand):
             return False
         demand, free = line.demand, worker.free
@@ -185,7 +185,7 @@
         worker = self._state.cell.workers.get(worker_id)
         if worker is not None:
             worker.quarantined = False
-            self._state.cell.reconsider(worker)
+            self._state.cell.reindex(worker)
 
     def _forget(self, worker_id):
         self._records.pop(worker_id, None)
@@ -197,8 +197,8 @@
     total = record.refused * REFUSAL
     for job, numbers in record.strikes.items():
         here = len(numbers)
-        failed = job.failed_ends - here + PRIOR_FAILURES
-        ended = job.ends - here + 1
+        failed = job.failed_runs - here + PRIOR_FAILURES
+        ended = job.ended_runs - here + 1
         total -= math.lgamma(failed + here) - math.lgamma(failed)
         total += math.lgamma(ended + here) - math.lgamma(ended)
     return total
--- a/alderreach/decisions/quotas.py
+++ b/alderreach/decisions/quotas.py
@@ -95,7 +95,7 @@
         """Note that a line waits for quota; after a while it is saved for."""
         if line.quota_since_ms is None:
             line.quota_since_ms = now_ms
-        after_ms = SAVE_AFTER_MS << min(line.vain_savings, DOUBLINGS)
+        after_ms = SAVE_AFTER_MS << min(line.unused_savings, DOUBLINGS)
         is_due = line.quota_since_ms + after_ms <= now_ms
         if account.saver is None and is_due and resources.fits(demand, account.quota):
             account.saver = line
@@ -103,12 +103,12 @@
 
     def stop_saving(self, line):
         """The line was served, or waits no more."""
-        line.vain_savings = 0
+        line.unused_savings = 0
         self._forget_saving(line)
 
     def saved_in_vain(self, line):
         """The line has the quota that was saved for it, and can't use it."""
-        line.vain_savings += 1
+        line.unused_savings += 1
         self._forget_saving(line)
 
     def _forget_saving(self, line):
--- a/alderreach/decisions/reservations.py
+++ b/alderreach/decisions/reservations.py
@@ -76,7 +76,7 @@
         _drop(state, worker.held_for, worker)
     worker.held_for = reservation
     reservation.workers[worker] = (0, 0)
-    state.cell.reconsider(worker)
+    state.cell.reindex(worker)
 
 
 def release(state, reservation):
@@ -95,7 +95,7 @@
     reservation.enough -= enough
     reservation.changed.pop(worker, None)
     worker.held_for = None
-    state.cell.reconsider(worker)
+    state.cell.reindex(worker)
 
 
 def serve(state):
@@ -119,7 +119,7 @@
             continue
         ready, enough = reservation.workers[worker]
         now = resources.copies(demand, worker.free)
-        later = max(now, resources.copies(demand, worker.drained()))
+        later = max(now, resources.copies(demand, worker.drained_capacity()))
         reservation.workers[worker] = (now, later)
         reservation.ready += now - ready
         reservation.enough += later - enough
@@ -132,7 +132,7 @@
     if job.line is None or not state.ledger.allows(account, whole, reservation.line):
         release(state, reservation)
     elif reservation.ready >= job.waiting:
-        gangs.start_whole(state, job, _ready_workers(reservation, job.waiting))
+        gangs.start_all(state, job, _ready_workers(reservation, job.waiting))
         release(state, reservation)
     elif reservation.enough < job.waiting:
         release(state, reservation)
@@ -150,11 +150,11 @@
         return
     reservation.retry_ms = state.now_ms + gangs.RETRY_MS
     job, shape = reservation.job, reservation.line.shape
-    workers = gangs.gather(state, shape, job.waiting - reservation.ready)
+    workers = gangs.find_workers(state, shape, job.waiting - reservation.ready)
     if workers is not None:
         workers += _ready_workers(reservation, reservation.ready)
         release(state, reservation)
-        gangs.start_whole(state, job, workers)
+        gangs.start_all(state, job, workers)
     elif is_oldest(state, reservation):
         _capture(state, reservation)
         if reservation.ready + _lent(state, reservation) >= job.waiting:
--- a/alderreach/decisions/rounds.py
+++ b/alderreach/decisions/rounds.py
@@ -96,7 +96,7 @@
     if line.blocked_since_ms is None:
         line.blocked_since_ms = state.now_ms
     if line.is_gang:
-        gangs.note_blocked(state, line.head())
+        gangs.mark_blocked(state, line.head())
 
 
 def _place_one(state, job, line, account):
@@ -130,13 +130,15 @@
         worker = placement.spread(
             state.cell, state.random, shape.demand, job.racks_used, job.workers_used
         )
-        if worker is not None and worker.worker_id != job.avoid:
+        if worker is not None and worker.worker_id != job.avoided_worker_id:
             return worker
     roomy = account.objective == "waiting"
     workers = state.cell.index.search(shape, roomy)
-    if job.avoid and len(workers) > 1:
-        workers = [w for w in workers if w.worker_id != job.avoid] or workers
+    if job.avoided_worker_id and len(workers) > 1:
+        workers = [
+            w for w in workers if w.worker_id != job.avoided_worker_id
+        ] or workers
     if not workers:
         return None
-    choose = placement.relax if roomy else placement.pack
+    choose = placement.worst_fit if roomy else placement.best_fit
     return choose(workers, shape.demand)
--- a/alderreach/decisions/scheduler.py
+++ b/alderreach/decisions/scheduler.py
@@ -53,14 +53,16 @@
         self._state = state.State(random)
         self._judge = quarantine.Judge(self._state)
         self._parking = impossible.Parking(self._state)
-        self._poison_jobs = poison_jobs.PoisonJobs(self._state, self._parking.condemn)
+        self._poison_jobs = poison_jobs.PoisonJobs(
+            self._state, self._parking.park_permanently
+        )
         self._observer = usage.Observer(self._state)
         self._done = collections.OrderedDict()
 
     def set_team(self, team):
         """Take over a ``common.Team``."""
         self._state.ledger.set_team(team)
-        self._parking.supply_changed()
+        self._parking.on_supply_changed()
 
     def remove_team(self, name):
         """Start nothing more for a team."""
@@ -73,13 +75,13 @@
             return
         worker = self._state.add_worker(worker_id, vm, rack, capacity)
         self._judge.worker_added(worker)
-        self._parking.supply_changed()
+        self._parking.on_supply_changed()
 
     def remove_worker(self, worker_id):
         """Forget a worker; its tasks are reported as lost one by one."""
         self._state.remove_worker(worker_id)
         self._judge.worker_removed(worker_id)
-        self._poison_jobs.worker_removed(worker_id)
+        self._poison_jobs.on_worker_removed(worker_id)
         self._observer.forget(worker_id)
 
     def set_open(self, worker_id, is_open):
@@ -87,7 +89,7 @@
         worker = self._state.cell.workers.get(worker_id)
         if worker is not None and worker.is_open != is_open:
             worker.is_open = is_open
-            self._state.cell.reconsider(worker)
+            self._state.cell.reindex(worker)
 
     def submit(self, job, now_ms):
         """Let a job wait; a service submitted again takes the new number of tasks."""
@@ -163,9 +165,11 @@
             return
         run = job.runs.get(number)
         if run is None:
-            endings.end_unseen(self._state, job, number, attempt, outcome)
+            endings.record_past_end(self._state, job, number, attempt, outcome)
         elif run.attempt == attempt:
-            endings.end(self._state, self._judge, self._poison_jobs, run, outcome)
+            endings.handle_end(
+                self._state, self._judge, self._poison_jobs, run, outcome
+            )
         self._close_if_done(job)
 
     def observe_usage(self, worker_id, used):
@@ -197,7 +201,7 @@
         if job is None:
             return self._done.get(job_id)
         if job.parked:
-            word = "impossible" if job.named else "waiting"
+            word = "impossible" if job.reported else "waiting"
             return state.status(job, word, job.parked)
         if job.runs:
             return state.status(job, "running", "")
@@ -244,14 +248,14 @@
         leader = self._state
         for band in leader.backlog.bands:
             self._parking.check_lines(rounds.stuck_lines(band))
-        self._parking.name_due()
+        self._parking.report_due()
         blocked = [
             line
             for band in leader.backlog.bands
             for line in rounds.blocked_lines(leader, band)
         ]
         draining.plan(leader, blocked)
-        draining.end_vain_savings(leader, blocked)
+        draining.end_unused_savings(leader, blocked)
 
     def _review(self):
         for job in self._state.due_reviews(REVIEWS_PER_TICK):
--- a/alderreach/decisions/search.py
+++ b/alderreach/decisions/search.py
@@ -72,7 +72,7 @@
 
     def move(self, worker):
         """Move a worker to the bucket of its free capacity, or out of the index."""
-        if not worker.takes_work():
+        if not worker.accepts_work():
             self._unlink(worker)
             return
         bucket = self._bucket_for(worker.free)
--- a/alderreach/decisions/serving.py
+++ b/alderreach/decisions/serving.py
@@ -85,7 +85,7 @@
     def __init__(self, place, queue_length, random):
         self._queue_length = queue_length
         self._random = random
-        self._line = ordering.WaitingLine()
+        self._line = ordering.RequestQueue()
         self._run_times = ordering.RunTimes()
         self._outliers = outliers.Outliers()
         self._router = routing.Router(self._outliers, random, *place)
@@ -103,7 +103,7 @@
     def configure(self, weights, declared_run_ms):
         """Take the teams' weights and the run time the configuration declares."""
         self._line.set_weights(weights)
-        self._run_times.declare(declared_run_ms)
+        self._run_times.set_declared(declared_run_ms)
 
     @property
     def waiting(self):
@@ -170,7 +170,7 @@
             wait_ms = self._own_wait_ms(waiting, now_ms)
             runner = self._router.pick(now_ms, wait_ms, waiting.avoided)
             if runner is not None:
-                self._line.take(waiting)
+                self._line.pop(waiting)
                 decisions.append(self._grant(waiting, runner))
             elif waiting.avoided:
                 skipped.add(waiting.ask.request_id)
@@ -232,9 +232,9 @@
             team, share_ms = self._line.heaviest()
             own = newcomer.ask.team
             own_ms = self._line.cost_of(own) / self._line.weight(own)
-            if not admission.takes_place(own_ms, share_ms) and self._line.cost_of(own):
+            if not admission.may_displace(own_ms, share_ms) and self._line.cost_of(own):
                 team = own
-            dropped = self._line.drop_newest(team)
+            dropped = self._line.pop_newest(team)
             decisions.append(self._overloaded(dropped.ask))
         return decisions
 
@@ -249,7 +249,7 @@
     def _learn(self, ended, running, now_ms):
         self._line.correct(running.team, ended.run_ms - running.cost_ms)
         if ended.result == UNREACHABLE:
-            self._outliers.unreachable(ended.runner_id, now_ms)
+            self._outliers.on_unreachable(ended.runner_id, now_ms)
         if ended.result in (UNREACHABLE, REFUSED, WITHDRAWN):
             return
         is_error = ended.result != ANSWERED or ended.status >= SERVER_ERROR
--- a/alderreach/decisions/state.py
+++ b/alderreach/decisions/state.py
@@ -68,7 +68,7 @@
     def start(self, job, worker):
         """Start the next waiting task of a job on a worker with room for it."""
         demand = job.spec.task
-        if not self.cell.take(worker, demand):
+        if not self.cell.allocate(worker, demand):
             raise AssertionError(f"{worker.worker_id} has no room for {demand}")
         number = job.next_task()
         attempt = job.attempts.pop(number, 0) + 1
@@ -122,9 +122,9 @@
         worker = self.cell.workers.get(run.worker_id)
         if worker is not None and run in worker.tasks:
             del worker.tasks[run]
-            if job.pins():
+            if job.is_pinned():
                 worker.pinned = resources.minus(worker.pinned, job.spec.task)
-            self.cell.give_back(worker, job.spec.task)
+            self.cell.release(worker, job.spec.task)
         else:
             self._forget_homeless(run)
         if job.is_service():
@@ -143,7 +143,7 @@
             self.cell.charge(worker, run.job.spec.task)
             self._settle_in(worker, run)
         worker.uncertain = self._uncertain[worker_id]
-        self.cell.reconsider(worker)
+        self.cell.reindex(worker)
         return worker
 
     def remove_worker(self, worker_id):
@@ -194,7 +194,7 @@
     def _settle_in(self, worker, run):
         job = run.job
         worker.tasks[run] = None
-        if job.pins():
+        if job.is_pinned():
             worker.pinned = resources.plus(worker.pinned, job.spec.task)
         if job.is_service() and run.rack != worker.rack:
             _decrease(job.racks_used, run.rack)
@@ -216,7 +216,7 @@
         worker = self.cell.workers.get(worker_id)
         if worker is not None:
             worker.uncertain = self._uncertain[worker_id]
-            self.cell.reconsider(worker)
+            self.cell.reindex(worker)
 
 
 def status(job, state, reason):
--- a/alderreach/decisions/usage.py
+++ b/alderreach/decisions/usage.py
@@ -106,7 +106,7 @@
         if resources.share(map(abs, change), worker.capacity) < STEP:
             return
         worker.excess = over
-        self._state.cell.give_back(worker, resources.minus(resources.NOTHING, change))
+        self._state.cell.release(worker, resources.minus(resources.NOTHING, change))
 
     def _learn(self, worker, usage):
         old_ms = self._state.now_ms - LAG_MS
