--- a/alderreach/decisions/admission.py
+++ b/alderreach/decisions/admission.py
@@ -17,8 +17,8 @@
 import typing
 
 RUN_MARGIN = 1.0
-RETRY_LEAST_MS = 200
-RETRY_SPREAD = 1.0
+MIN_RETRY_AFTER_MS = 200
+RETRY_JITTER = 1.0
 
 
 class Estimate(typing.NamedTuple):
@@ -49,8 +49,8 @@
 def retry_after_ms(total_backlog_ms, run_ms, slots, random):
     """When it helps to come back: what waits now has been served by then."""
     drained_ms = (total_backlog_ms + run_ms) / max(1, slots)
-    wait_ms = max(RETRY_LEAST_MS, drained_ms)
-    return int(wait_ms * (1 + RETRY_SPREAD * random.random()))
+    wait_ms = max(MIN_RETRY_AFTER_MS, drained_ms)
+    return int(wait_ms * (1 + RETRY_JITTER * random.random()))
 
 
 def may_displace(own_ms, heaviest_ms):
--- a/alderreach/decisions/backfill.py
+++ b/alderreach/decisions/backfill.py
@@ -16,28 +16,30 @@
 
 # How many times the declared run time must be left; for tasks that can't checkpoint.
 MARGIN = 2
-MARGIN_UNSAVED = 10
-PER_TICK = 32
-SAMPLES = 8
+MARGIN_WITHOUT_CHECKPOINT = 10
+MAX_STARTS_PER_TICK = 32
+SAMPLED_WORKERS = 8
 
 
 def fill(state, lines):
     """Start short tasks of blocked lines on reserved workers."""
     if not state.reservations:
         return
-    left = PER_TICK
+    budget = MAX_STARTS_PER_TICK
     for line in lines:
-        if not line.is_gang and left > 0:
-            left -= _fill_from(state, line, left)
+        if not line.is_gang and budget > 0:
+            budget -= _fill_from(state, line, budget)
 
 
-def _fill_from(state, line, left):
+def _fill_from(state, line, budget):
     account = state.ledger.account(line.team)
     started = 0
     while (
-        started < left and line.jobs and state.ledger.allows(account, line.demand, line)
+        started < budget
+        and line.jobs
+        and state.ledger.allows(account, line.demand, line)
     ):
-        reservation, worker = _short_term_worker(state, line.head())
+        reservation, worker = _worker_for_short_task(state, line.head())
         if worker is None:
             break
         reservation.fillers.append(state.start(line.head(), worker))
@@ -45,8 +47,8 @@
     return started
 
 
-def _short_term_worker(state, job):
-    margin = MARGIN if job.spec.checkpoint else MARGIN_UNSAVED
+def _worker_for_short_task(state, job):
+    margin = MARGIN if job.spec.checkpoint else MARGIN_WITHOUT_CHECKPOINT
     run_ms = job.spec.expected_run_ms * margin
     if not run_ms or job.is_service() or job.overran:
         return None, None
@@ -55,7 +57,7 @@
             continue
         if run_ms > reservations.needed_in_ms(state, reservation):
             continue
-        worker = _with_room(state, reservation, job.spec.task)
+        worker = _find_fitting_worker(state, reservation, job.spec.task)
         if worker is not None:
             return reservation, worker
     return None, None
@@ -68,25 +70,25 @@
             continue
         account = state.ledger.account(line.team)
         while line.jobs and state.ledger.allows(account, line.demand, line):
-            worker = _normal_worker(state, line.demand)
+            worker = _worker_reserved_for_normal(state, line.demand)
             if worker is None:
                 break
             line.blocked_since_ms = None
             state.start(line.head(), worker)
 
 
-def _normal_worker(state, demand):
+def _worker_reserved_for_normal(state, demand):
     for reservation in state.reservations:
         if not reservation.urgent:
-            worker = _with_room(state, reservation, demand)
+            worker = _find_fitting_worker(state, reservation, demand)
             if worker is not None:
                 return worker
     return None
 
 
-def _with_room(state, reservation, demand):
+def _find_fitting_worker(state, reservation, demand):
     workers = list(reservation.workers)
-    for _ in range(min(SAMPLES, len(workers))):
+    for _ in range(min(SAMPLED_WORKERS, len(workers))):
         worker = workers[int(state.random.random() * len(workers))]
         if worker.is_usable() and resources.fits(demand, worker.free):
             return worker
--- a/alderreach/decisions/concurrency.py
+++ b/alderreach/decisions/concurrency.py
@@ -15,22 +15,22 @@
 import math
 
 TOLERANCE = 2.0
-SHRINK_LEAST = 0.7
+MIN_SHRINK_FACTOR = 0.7
 SMOOTHING = 0.3
 ROUND_MS = 200
 ROUND_SAMPLES = 10
-BASE_WINDOWS = 300
+BASELINE_ROUNDS = 300
 
 
 class Limit:
     """The adaptive limit; ``least`` and ``most`` follow the known runners."""
 
-    def __init__(self, least=1, most=1):
-        self._least = least
-        self._most = most
-        self._limit = float(most)
+    def __init__(self, minimum=1, maximum=1):
+        self._minimum = minimum
+        self._maximum = maximum
+        self._limit = float(maximum)
         self._samples = []
-        self._bases = collections.deque(maxlen=BASE_WINDOWS)
+        self._baselines = collections.deque(maxlen=BASELINE_ROUNDS)
         self._round_ends_ms = None
         self._was_full = False
 
@@ -39,11 +39,11 @@
         """How many may be under way now."""
         return int(self._limit)
 
-    def set_bounds(self, least, most):
+    def set_bounds(self, minimum, maximum):
         """The limit stays within these; more runners let it start higher at once."""
-        if most > self._most:
-            self._limit += most - self._most
-        self._least, self._most = least, most
+        if maximum > self._maximum:
+            self._limit += maximum - self._maximum
+        self._minimum, self._maximum = minimum, maximum
         self._clamp()
 
     def observe(self, run_ms, in_flight, now_ms):
@@ -59,11 +59,11 @@
     def _adjust(self):
         ordered = sorted(self._samples)
         median_ms = max(ordered[len(ordered) // 2], 1)
-        self._bases.append(median_ms)
-        ratio = TOLERANCE * min(self._bases) / median_ms
+        self._baselines.append(median_ms)
+        ratio = TOLERANCE * min(self._baselines) / median_ms
         wanted = self._limit
         if ratio < 1:
-            wanted *= max(SHRINK_LEAST, ratio)
+            wanted *= max(MIN_SHRINK_FACTOR, ratio)
         elif self._was_full:
             wanted += math.sqrt(self._limit)
         self._limit += SMOOTHING * (wanted - self._limit)
@@ -72,4 +72,4 @@
         self._was_full = False
 
     def _clamp(self):
-        self._limit = max(self._least, min(self._limit, self._most))
+        self._limit = max(self._minimum, min(self._limit, self._maximum))
--- a/alderreach/decisions/draining.py
+++ b/alderreach/decisions/draining.py
@@ -18,15 +18,15 @@
 # only waits for another to end not to empty workers in vain.
 RESERVE_AFTER_MS = 5_000
 # A large single task waits for one worker; passing it over for a while costs nobody.
-RESERVE_ONE_AFTER_MS = 15_000
-REPLAN_MS = 1_000
+RESERVE_SINGLE_AFTER_MS = 15_000
+PLAN_INTERVAL_MS = 1_000
 RESERVATIONS = 4
 RESERVED_SHARE = 0.5
 # Workers looked at: enough to find mostly empty ones, and for large gangs all.
 WINDOW = 256
 WINDOW_PER_TASK = 4
 # Rounding of shares must not exclude a team that is exactly at the average.
-ROUNDING = 1e-9
+SHARE_TOLERANCE = 1e-9
 # What became of a try to reserve.
 RESERVED, UNABLE, TOO_MUCH = "reserved", "unable", "too_much"
 
@@ -35,22 +35,22 @@
     """Give the gang or large task that has waited longest a reservation, if due."""
     if state.now_ms < state.plan_at_ms:
         return
-    state.plan_at_ms = state.now_ms + REPLAN_MS
-    held = [each for each in state.reservations if not each.urgent]
-    if len(held) >= RESERVATIONS:
+    state.plan_at_ms = state.now_ms + PLAN_INTERVAL_MS
+    existing = [each for each in state.reservations if not each.urgent]
+    if len(existing) >= RESERVATIONS:
         return
-    due = [each for line in lines if (each := _due(state, line)) is not None]
+    due = [each for line in lines if (each := _find_due(state, line)) is not None]
     due.sort(key=lambda each: each[:2])
     tried = []
     while due:
         shares = [state.ledger.account(line.team).share for _, _, line, _ in due]
-        fair = sum(shares) / len(shares) + ROUNDING
+        fair = sum(shares) / len(shares) + SHARE_TOLERANCE
         unable = []
         for each, share in zip(due, shares, strict=True):
             if share > fair or each in tried:
                 continue
             tried.append(each)
-            outcome = _reserve(state, each[2], each[3], held)
+            outcome = _reserve(state, each[2], each[3], existing)
             if outcome == RESERVED:
                 return
             if outcome == UNABLE:
@@ -69,42 +69,42 @@
     so without this a gang that finds no room stops all of its team.
     """
     served = {reservation.line for reservation in state.reservations}
-    latest_ms = state.now_ms - RESERVE_ONE_AFTER_MS
+    latest_ms = state.now_ms - RESERVE_SINGLE_AFTER_MS
     for line in lines:
         is_saved_for = state.ledger.account(line.team).saver is line
         if is_saved_for and line not in served and line.blocked_since_ms <= latest_ms:
             state.ledger.saved_in_vain(line)
 
 
-def _due(state, line):
+def _find_due(state, line):
     """Return (not urgent, since, line, gang or None) if a line is due, else None."""
     if line.reservation is not None:
         return None
-    calm = not line.is_urgent
+    is_normal = not line.is_urgent
     if not line.is_gang:
-        if line.blocked_since_ms + RESERVE_ONE_AFTER_MS > state.now_ms:
+        if line.blocked_since_ms + RESERVE_SINGLE_AFTER_MS > state.now_ms:
             return None
-        return calm, line.blocked_since_ms, line, None
+        return is_normal, line.blocked_since_ms, line, None
     reserved = {each.job for each in state.reservations}
     for job in line.jobs.values():
         if job in reserved or job.blocked_since_ms is None:
             continue
         if job.blocked_since_ms + RESERVE_AFTER_MS > state.now_ms:
             return None
-        return calm, job.blocked_since_ms, line, job
+        return is_normal, job.blocked_since_ms, line, job
     return None
 
 
-def _reserve(state, line, job, held):
+def _reserve(state, line, job, existing):
     """Return RESERVED, UNABLE if no drained workers would do, or else TOO_MUCH."""
     need = job.waiting if job else 1
     account = state.ledger.account(line.team)
     if not state.ledger.allows(account, resources.times(line.demand, need), line):
         return UNABLE
-    workers = _drainable(state, line.demand, need)
+    workers = _find_drainable(state, line.demand, need)
     if workers is None:
         return UNABLE
-    if not _within_share(state, workers, held):
+    if not _is_within_share(state, workers, existing):
         return TOO_MUCH
     reservation = reservations.reserve(state, line, job, workers)
     reservation.needed_at_ms = _drained_at_ms(state, workers)
@@ -113,7 +113,7 @@
     return RESERVED
 
 
-def _drainable(state, demand, need):
+def _find_drainable(state, demand, need):
     """Return workers that suffice for ``need`` tasks when drained, None if none do."""
     found = []
     window = max(WINDOW, WINDOW_PER_TASK * need)
@@ -144,11 +144,11 @@
                 yield worker
 
 
-def _within_share(state, workers, held):
-    if not held:
+def _is_within_share(state, workers, existing):
+    if not existing:
         return True
     taken = resources.NOTHING
-    for worker in itertools.chain(workers, *(each.workers for each in held[1:])):
+    for worker in itertools.chain(workers, *(each.workers for each in existing[1:])):
         taken = resources.plus(taken, worker.capacity)
     return resources.share(taken, state.cell.total) <= RESERVED_SHARE
 
--- a/alderreach/decisions/endings.py
+++ b/alderreach/decisions/endings.py
@@ -12,23 +12,23 @@
 """
 
 # A second try survives a fault of the worker, a third the bad luck of two of them.
-FAILURES_ALLOWED = 3
+MAX_FAILURES = 3
 # A task lost so often with its worker has probably caused it.
 MAX_LOSSES = 4
-FAILURES_IN_A_ROW = 32
-WORKERS_TO_BLAME_JOB = 3
+MAX_CONSECUTIVE_FAILURES = 32
+MIN_FAILING_WORKERS = 3
 INITIAL_PAUSE_MS = 100
 MAX_PAUSE_MS = 30_000
 # A service that ran for this long has recovered.
 HEALTHY_MS = 60_000
-YOUNG_MS = 60_000
+EARLY_LOSS_MS = 60_000
 
 
 def handle_end(state, judge, poison_jobs, run, outcome):
     """Take in how a run ended."""
     job = run.job
     state.release(run)
-    _count_end(job, run, outcome)
+    _update_counts(job, run, outcome)
     if outcome == "finished":
         judge.finished(run)
     elif outcome in ("failed", "refused"):
@@ -55,9 +55,9 @@
     """Note an end that an earlier owner saw of a task that runs nowhere now."""
     if job.is_service() or outcome != "finished":
         job.attempts[number] = max(attempt, job.attempts.get(number, 0))
-    elif number < job.spec.tasks and job.waiting and number not in job.settled:
+    elif number < job.spec.tasks and job.waiting and number not in job.final_numbers:
         job.claim(number)
-        job.settle(number)
+        job.mark_final(number)
         job.finished += 1
         if not job.waiting:
             state.backlog.remove(job)
@@ -67,7 +67,9 @@
     """Take up how often tasks were lost under earlier owners, and who was given up."""
     for number, count in losses.items():
         job.losses[number] = count
-        is_open = job.waiting and number not in job.settled and number not in job.runs
+        is_open = (
+            job.waiting and number not in job.final_numbers and number not in job.runs
+        )
         if count >= MAX_LOSSES and is_open:
             job.claim(number)
             _give_up_lost(job, number)
@@ -78,11 +80,11 @@
 def review(state, job):
     """Let a job wait again whose pause is over; stop a gang that is left in part."""
     if job.is_gang() and job.runs and job.waiting and not job.cancelled:
-        _regroup(state, job)
+        _restart_gang(state, job)
     state.wait(job)
 
 
-def _count_end(job, run, outcome):
+def _update_counts(job, run, outcome):
     if outcome == "finished":
         job.ended_runs += 1
         job.consecutive_failures = 0
@@ -93,7 +95,7 @@
         job.failed_runs += 1
         job.consecutive_failures += 1
         job.avoided_worker_id = run.worker_id
-        if len(job.failed_on) < WORKERS_TO_BLAME_JOB:
+        if len(job.failed_on) < MIN_FAILING_WORKERS:
             job.failed_on.add(run.worker_id)
     elif outcome == "refused":
         job.avoided_worker_id = run.worker_id
@@ -104,10 +106,10 @@
     is_pausing = state.now_ms < job.not_before_ms
     if outcome in ("finished", "failed"):
         _pause(state, run)
-    elif _is_lost_young(state, run, outcome) and not is_pausing:
+    elif _is_early_loss(state, run, outcome) and not is_pausing:
         # Once for all that a rack takes with it.
         _pause(state, run)
-    job.return_task(run.number)
+    job.requeue(run.number)
     state.wait(job, first=True)
 
 
@@ -126,25 +128,25 @@
     job, number = run.job, run.number
     if outcome == "finished":
         job.finished += 1
-        job.settle(number)
+        job.mark_final(number)
         # The rest of a gang may have been waiting for this one to end.
         state.wait(job, first=True)
         return
-    if job.given_up or _is_given_up(state, run, outcome):
+    if job.given_up or _exhausts_attempts(state, run, outcome):
         if outcome == "lost":
             _give_up_lost(job, number)
         else:
             job.failed += 1
-            job.settle(number)
-        if job.is_gang() or _is_hopeless(state, job):
+            job.mark_final(number)
+        if job.is_gang() or _is_broken(state, job):
             _give_up_rest(state, job)
         return
     job.attempts[number] = run.attempt
-    job.return_task(number, failed=outcome == "failed")
-    if _is_hopeless(state, job):
+    job.requeue(number, failed=outcome == "failed")
+    if _is_broken(state, job):
         _give_up_rest(state, job)
     elif job.is_gang() and job.runs:
-        _regroup(state, job)
+        _restart_gang(state, job)
     else:
         state.wait(job, first=True)
 
@@ -152,29 +154,30 @@
 def _give_up_lost(job, number):
     """Give up a task that was lost too often; the count stays for the next owner."""
     job.failed += 1
-    job.settle(number)
+    job.mark_final(number)
     job.losses[number] = MAX_LOSSES
 
 
-def _is_given_up(state, run, outcome):
+def _exhausts_attempts(state, run, outcome):
     job, number = run.job, run.number
     if outcome == "failed":
         job.failures[number] = job.failures.get(number, 0) + 1
-        return job.failures[number] >= FAILURES_ALLOWED
-    if _is_lost_young(state, run, outcome):
+        return job.failures[number] >= MAX_FAILURES
+    if _is_early_loss(state, run, outcome):
         job.losses[number] = job.losses.get(number, 0) + 1
         return job.losses[number] >= MAX_LOSSES
     return False
 
 
-def _is_lost_young(state, run, outcome):
-    return outcome == "lost" and state.now_ms - run.started_ms <= YOUNG_MS
+def _is_early_loss(state, run, outcome):
+    return outcome == "lost" and state.now_ms - run.started_ms <= EARLY_LOSS_MS
 
 
-def _is_hopeless(state, job):
-    enough = min(WORKERS_TO_BLAME_JOB, len(state.cell.workers))
+def _is_broken(state, job):
+    min_workers = min(MIN_FAILING_WORKERS, len(state.cell.workers))
     return (
-        job.consecutive_failures >= FAILURES_IN_A_ROW and len(job.failed_on) >= enough
+        job.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+        and len(job.failed_on) >= min_workers
     )
 
 
@@ -188,7 +191,7 @@
             state.stop(run)
 
 
-def _regroup(state, job):
+def _restart_gang(state, job):
     """Stop what is left of a gang; it starts again as a whole."""
     state.backlog.remove(job)
     for run in job.runs.values():
--- a/alderreach/decisions/first_fit.py
+++ b/alderreach/decisions/first_fit.py
@@ -9,7 +9,7 @@
 
 NOTHING = common.Resources(0, 0, 0)
 FINAL = ("finished", "failed")
-RETRIES_MAX = 3
+MAX_FAILURES = 3
 
 
 class _Task:
@@ -89,7 +89,7 @@
         """Note a task that is known to run already."""
         task = self._tasks[task_id]
         task.attempt, task.state, task.worker_id = attempt, "running", worker_id
-        self._take(worker_id, self._jobs[job_id].task)
+        self._reserve(worker_id, self._jobs[job_id].task)
 
     def task_started(self, task_id, now_ms):
         """Note that a worker runs the task."""
@@ -104,11 +104,11 @@
             return
         worker = self._workers.get(task.worker_id)
         if worker is not None:
-            asked = self._jobs[task.job_id].task
-            worker.free = minus(worker.free, minus(NOTHING, asked))
+            demand = self._jobs[task.job_id].task
+            worker.free = minus(worker.free, minus(NOTHING, demand))
         task.worker_id = ""
         task.failures += outcome == "failed"
-        given_up = task.failures >= RETRIES_MAX
+        given_up = task.failures >= MAX_FAILURES
         task.state = "failed" if given_up else "waiting"
         if outcome == "finished":
             task.state = "finished"
@@ -163,14 +163,14 @@
         ]
         chosen = []
         for task_id in waiting[: max(budget, 0)]:
-            worker_id = self._room(job.task)
+            worker_id = self._find_worker(job.task)
             if worker_id is None:
                 break
-            self._take(worker_id, job.task)
+            self._reserve(worker_id, job.task)
             chosen.append((task_id, worker_id))
         if job.kind == "gang" and len(chosen) < len(waiting):
             for _, worker_id in chosen:
-                self._take(worker_id, minus(NOTHING, job.task))
+                self._reserve(worker_id, minus(NOTHING, job.task))
             return []
         return [self._start(job, *choice) for choice in chosen]
 
@@ -180,13 +180,13 @@
         task.state, task.worker_id = "starting", worker_id
         return actions.Start(task_id, task.attempt, job.job_id, worker_id, job.task)
 
-    def _room(self, asked):
+    def _find_worker(self, demand):
         for worker_id, worker in sorted(self._workers.items()):
-            if worker.open and fits(asked, worker.free):
+            if worker.open and fits(demand, worker.free):
                 return worker_id
         return None
 
-    def _take(self, worker_id, asked):
+    def _reserve(self, worker_id, demand):
         worker = self._workers.get(worker_id)
         if worker is not None:
-            worker.free = minus(worker.free, asked)
+            worker.free = minus(worker.free, demand)
--- a/alderreach/decisions/gangs.py
+++ b/alderreach/decisions/gangs.py
@@ -48,22 +48,24 @@
     A gang that ``is_suspect`` goes beside no other suspect if it can.
     """
     cell, demand = state.cell, shape.demand
-    taken = []
-    while len(taken) < wanted and not shape.blocked:
+    chosen = []
+    while len(chosen) < wanted and not shape.blocked:
         workers = cell.index.search(shape)
         if not workers:
             continue
         if is_suspect:
-            apart = [w for w in workers if not poison_jobs.is_beside_suspect(w)]
-            workers = apart or workers
+            away_from_suspects = [
+                w for w in workers if not poison_jobs.is_beside_suspect(w)
+            ]
+            workers = away_from_suspects or workers
         worker = placement.best_fit(workers, demand)
-        number = min(wanted - len(taken), resources.copies(demand, worker.free))
+        number = min(wanted - len(chosen), resources.copies(demand, worker.free))
         for _ in range(number):
             cell.allocate(worker, demand)
-            taken.append(worker)
-    for worker in taken:
+            chosen.append(worker)
+    for worker in chosen:
         cell.undo(shape, worker)
-    return taken if len(taken) == wanted else None
+    return chosen if len(chosen) == wanted else None
 
 
 def start_all(state, job, workers):
--- a/alderreach/decisions/impossible.py
+++ b/alderreach/decisions/impossible.py
@@ -20,7 +20,7 @@
 
 # Workers announce themselves every second; ten are the slowest of them twice over.
 CONFIRM_AFTER_MS = 10_000
-CHECKS_PER_TICK = 128
+MAX_CHECKS_PER_TICK = 128
 
 
 class Parking:
@@ -29,7 +29,7 @@
     def __init__(self, state):
         self._state = state
         self._parked = collections.OrderedDict()
-        self._unnamed = []
+        self._unreported = []
         self._to_check = 0
 
     def admit(self, job):
@@ -46,7 +46,7 @@
         self._state.backlog.remove(job)
         job.report_ms = self._state.now_ms + CONFIRM_AFTER_MS
         self._parked[job.spec.job_id] = job
-        heapq.heappush(self._unnamed, (job.report_ms, job.spec.job_id))
+        heapq.heappush(self._unreported, (job.report_ms, job.spec.job_id))
 
     def park_permanently(self, job, reason):
         """Park a job for good and name it at once."""
@@ -65,7 +65,7 @@
 
     def check_parked(self):
         """Let jobs wait again that lacked what has come."""
-        for _ in range(min(self._to_check, CHECKS_PER_TICK, len(self._parked))):
+        for _ in range(min(self._to_check, MAX_CHECKS_PER_TICK, len(self._parked))):
             self._to_check -= 1
             self._check_oldest()
 
@@ -96,7 +96,7 @@
         if now_ms - max(since_ms, line.checked_ms) < CONFIRM_AFTER_MS:
             return
         line.checked_ms = now_ms
-        for job in list(line.jobs.values())[:CHECKS_PER_TICK]:
+        for job in list(line.jobs.values())[:MAX_CHECKS_PER_TICK]:
             reason = reason_for(self._state, job)
             if reason:
                 self.park(job, reason)
@@ -104,10 +104,10 @@
     def report_due(self):
         """Name the jobs that have been parked for long enough."""
         state = self._state
-        for _ in range(CHECKS_PER_TICK):
-            if not self._unnamed or self._unnamed[0][0] > state.now_ms:
+        for _ in range(MAX_CHECKS_PER_TICK):
+            if not self._unreported or self._unreported[0][0] > state.now_ms:
                 return
-            due_ms, job_id = heapq.heappop(self._unnamed)
+            due_ms, job_id = heapq.heappop(self._unreported)
             job = self._parked.get(job_id)
             if job is not None and job.report_ms == due_ms:
                 job.reported = True
@@ -124,18 +124,18 @@
     if not resources.fits(together, account.quota):
         quota = resources.show(account.quota)
         return f"needs {resources.show(together)}; the quota of {spec.team} is {quota}"
-    sizes = state.cell.by_capacity
-    if not sizes:
+    capacities = state.cell.by_capacity
+    if not capacities:
         return ""
-    if not any(resources.fits(spec.task, capacity) for capacity in sizes):
+    if not any(resources.fits(spec.task, capacity) for capacity in capacities):
         return f"no worker has {resources.show(spec.task)}"
-    if job.is_gang() and not _has_room_for_gang(sizes, spec.task, job.waiting):
+    if job.is_gang() and not _fits_gang(capacities, spec.task, job.waiting):
         return f"all workers together have no room for {job.waiting} such tasks at once"
     return ""
 
 
-def _has_room_for_gang(sizes, demand, wanted):
-    for capacity, workers in sizes.items():
+def _fits_gang(capacities, demand, wanted):
+    for capacity, workers in capacities.items():
         wanted -= len(workers) * resources.copies(demand, capacity)
         if wanted <= 0:
             return True
--- a/alderreach/decisions/jobs.py
+++ b/alderreach/decisions/jobs.py
@@ -56,13 +56,14 @@
         "avoided_worker_id",
         "blocked_since_ms",
         "cancelled",
+        "consecutive_failures",
         "declared",
         "ended_runs",
         "failed",
-        "failed_runs",
-        "consecutive_failures",
         "failed_on",
+        "failed_runs",
         "failures",
+        "final_numbers",
         "finished",
         "given_up",
         "incidents",
@@ -71,8 +72,6 @@
         "line",
         "losses",
         "lost_on",
-        "report_ms",
-        "reported",
         "next_number",
         "not_before_ms",
         "overran",
@@ -80,11 +79,12 @@
         "postponed",
         "preempted",
         "racks_used",
+        "report_ms",
+        "reported",
+        "requeued",
         "restarts",
         "retry_ms",
-        "returned",
         "runs",
-        "settled",
         "spec",
         "waiting",
         "workers_used",
@@ -95,9 +95,9 @@
         self.declared = declared
         self.waiting = spec.tasks
         self.next_number = 0
-        self.returned = []
+        self.requeued = []
         self.postponed = []
-        self.settled = set()
+        self.final_numbers = set()
         self.runs = {}
         self.attempts = {}
         self.failures = {}
@@ -153,26 +153,26 @@
         Failed tasks come last, when other work has shown whether it was the worker.
         """
         self.waiting -= 1
-        if self.returned:
-            return self.returned.pop()
-        while self.next_number in self.settled or self.next_number in self.runs:
-            self.settled.discard(self.next_number)
+        if self.requeued:
+            return self.requeued.pop()
+        while self.next_number in self.final_numbers or self.next_number in self.runs:
+            self.final_numbers.discard(self.next_number)
             self.next_number += 1
         if self.next_number >= self.spec.tasks and self.postponed:
             return self.postponed.pop()
         self.next_number += 1
         return self.next_number - 1
 
-    def return_task(self, number, failed=False):
+    def requeue(self, number, failed=False):
         """Let a task wait again."""
         self.waiting += 1
         if number < self.next_number:
-            (self.postponed if failed else self.returned).append(number)
+            (self.postponed if failed else self.requeued).append(number)
 
     def claim(self, number):
         """Count one certain task as no longer waiting."""
         self.waiting -= 1
-        for numbers in (self.returned, self.postponed):
+        for numbers in (self.requeued, self.postponed):
             if number in numbers:
                 numbers.remove(number)
 
@@ -180,14 +180,14 @@
         """Take over a service's new number of tasks."""
         self.spec = self.spec._replace(tasks=tasks)
         self.next_number = 0
-        self.returned.clear()
+        self.requeued.clear()
         self.postponed.clear()
         self.waiting = sum(1 for number in range(tasks) if number not in self.runs)
 
-    def settle(self, number):
+    def mark_final(self, number):
         """Count a task that waits no more as ended for good."""
         if number >= self.next_number:
-            self.settled.add(number)
+            self.final_numbers.add(number)
         self.attempts.pop(number, None)
         self.failures.pop(number, None)
         self.preempted.pop(number, None)
--- a/alderreach/decisions/maintenance.py
+++ b/alderreach/decisions/maintenance.py
@@ -15,7 +15,7 @@
 CLOSE_LEAD_MS = 600_000
 CLEAR_LEAD_MS = 120_000
 STOP_LEAD_MS = 30_000
-KINDS = common.Resources._fields
+RESOURCE_KINDS = common.Resources._fields
 
 
 def phase(window, now_wall_ms):
@@ -40,8 +40,8 @@
     phases = [""]
     for window in windows:
         if covers(window, vm, rack):
-            now_in = phase(window, now_wall_ms)
-            phases.append("" if now_in == "over" else now_in)
+            current = phase(window, now_wall_ms)
+            phases.append("" if current == "over" else current)
     return max(phases, key=order.index)
 
 
@@ -66,20 +66,20 @@
     >>> check_window(window, rows)  # doctest: +SKIP
     ['8000 cpu_millis must move, but only 4000 are free elsewhere']
     """
-    reasons = _check_shape(window, now_wall_ms)
+    reasons = _check_fields(window, now_wall_ms)
     inside = [row for row in targets if covers(window, row.vm, row.rack)]
     reasons += _check_names(window, targets)
     workers = [row for row in targets if row.kind == "worker"]
     stopped = [row for row in workers if row in inside and row.state != "dead"]
     others = [row for row in workers if row not in inside and row.state == "ready"]
-    reasons += _check_room(stopped, others)
+    reasons += _check_capacity(stopped, others)
     runners = [row for row in targets if row.kind == "runner" and row.state == "ready"]
     if runners and all(row in inside for row in runners):
         reasons.append("no ready runner is left in the failure domain")
     return reasons
 
 
-def _check_shape(window, now_wall_ms):
+def _check_fields(window, now_wall_ms):
     reasons = []
     if window.end_wall_ms <= window.start_wall_ms:
         reasons.append("the window ends before it starts")
@@ -100,16 +100,16 @@
     return [f"no target is known on {name}" for name in unknown]
 
 
-def _check_room(stopped, others):
+def _check_capacity(stopped, others):
     reasons = []
-    for kind in KINDS:
+    for kind in RESOURCE_KINDS:
         needed = sum(getattr(row.reserved, kind) for row in stopped)
-        room = sum(
+        available = sum(
             max(getattr(row.capacity, kind) - getattr(row.reserved, kind), 0)
             for row in others
         )
-        if needed > room:
+        if needed > available:
             reasons.append(
-                f"{needed} {kind} must move, but only {room} are free elsewhere"
+                f"{needed} {kind} must move, but only {available} are free elsewhere"
             )
     return reasons
--- a/alderreach/decisions/ordering.py
+++ b/alderreach/decisions/ordering.py
@@ -22,12 +22,12 @@
 import typing
 
 URGENT_PRIORITY = 7
-REST_SHARE = 0.2
-URGENT_LEAD_MS = 100
-FLIP_SHARE = 0.5
-LEARN_SHARE = 0.1
-RUN_DEFAULT_MS = 10
-RUN_LEAST_MS = 0.5
+ROUTINE_SHARE = 0.2
+MAX_URGENT_LEAD_MS = 100
+NEWEST_FIRST_SHARE = 0.5
+SMOOTHING = 0.1
+DEFAULT_RUN_MS = 10
+MIN_RUN_MS = 0.5
 
 
 class RunTimes:
@@ -37,13 +37,13 @@
     """
 
     def __init__(self, declared_ms=0):
-        self._declared_ms = declared_ms or RUN_DEFAULT_MS
+        self._declared_ms = declared_ms or DEFAULT_RUN_MS
         self._teams = {}
         self._overall_ms = None
 
     def set_declared(self, declared_ms):
         """Take what the configuration says now."""
-        self._declared_ms = declared_ms or RUN_DEFAULT_MS
+        self._declared_ms = declared_ms or DEFAULT_RUN_MS
 
     def expected_ms(self, team):
         """How long a request of a team holds a slot."""
@@ -57,15 +57,15 @@
 
     def observe(self, team, run_ms):
         """A request of a team has held a slot for so long."""
-        run_ms = max(run_ms, RUN_LEAST_MS)
-        self._teams[team] = _learn(self._teams.get(team), run_ms)
-        self._overall_ms = _learn(self._overall_ms, run_ms)
+        run_ms = max(run_ms, MIN_RUN_MS)
+        self._teams[team] = _smooth(self._teams.get(team), run_ms)
+        self._overall_ms = _smooth(self._overall_ms, run_ms)
 
 
-def _learn(known_ms, run_ms):
+def _smooth(known_ms, run_ms):
     if known_ms is None:
         return run_ms
-    return known_ms + LEARN_SHARE * (run_ms - known_ms)
+    return known_ms + SMOOTHING * (run_ms - known_ms)
 
 
 class Waiting(typing.NamedTuple):
@@ -76,12 +76,12 @@
     cost_ms: float
 
 
-class _Class:
+class _PriorityClass:
     """The waiting requests of one class of urgency, by team."""
 
     def __init__(self):
         self.queues = {}
-        self.number = 0
+        self.count = 0
         self.cost_ms = 0.0
 
 
@@ -89,15 +89,15 @@
     """Requests that wait for a slot of one service."""
 
     def __init__(self):
-        self._classes = {True: _Class(), False: _Class()}
+        self._classes = {True: _PriorityClass(), False: _PriorityClass()}
         self._groups = tuple(self._classes.values())
         self._weights = {}
-        self._finish = collections.defaultdict(float)
+        self._finish_tags = collections.defaultdict(float)
         self._virtual_ms = 0.0
-        self._rest_credit_ms = 0.0
+        self._routine_credit_ms = 0.0
 
     def __len__(self):
-        return sum(group.number for group in self._classes.values())
+        return sum(group.count for group in self._classes.values())
 
     def set_weights(self, weights):
         """Take the teams' fair shares, by name."""
@@ -115,7 +115,7 @@
             queue.appendleft(waiting)
         else:
             queue.append(waiting)
-        group.number += 1
+        group.count += 1
         group.cost_ms += waiting.cost_ms
 
     def head(self, now_ms, skipped=()):
@@ -126,7 +126,7 @@
         """
         for group, team in self._order():
             queue = group.queues[team]
-            takes_newest = len(queue) > 1 and _is_flipped(queue[0].ask, now_ms)
+            takes_newest = len(queue) > 1 and _serves_newest_first(queue[0].ask, now_ms)
             for waiting in reversed(queue) if takes_newest else queue:
                 if waiting.ask.request_id not in skipped:
                     return waiting
@@ -136,7 +136,7 @@
         """Take out a request that waits."""
         group = self._classes[is_urgent(waiting.ask)]
         group.queues[waiting.ask.team].remove(waiting)
-        self._taken(group, waiting)
+        self._on_removed(group, waiting)
 
     def pop(self, waiting):
         """Take out what ``head`` gave: it goes now, and its team pays for it."""
@@ -152,21 +152,21 @@
     def charge(self, team, cost_ms):
         """Let slot time count against a team's share; negative gives it back."""
         spent_ms = cost_ms / self.weight(team)
-        self._finish[team] = self._start_tag(team) + spent_ms
+        self._finish_tags[team] = self._start_tag(team) + spent_ms
 
     def correct(self, team, difference_ms):
         """The true cost of a request that was charged differs by so much."""
-        self._finish[team] += difference_ms / self.weight(team)
+        self._finish_tags[team] += difference_ms / self.weight(team)
 
     def remove(self, condition):
         """Take out and return all requests whose ``Waiting`` meets a condition."""
         removed = []
         for group in self._classes.values():
             for team in list(group.queues):
-                gone = [each for each in group.queues[team] if condition(each)]
-                for waiting in gone:
+                matching = [each for each in group.queues[team] if condition(each)]
+                for waiting in matching:
                     self.drop(waiting)
-                removed += gone
+                removed += matching
         return removed
 
     def backlog(self, team, urgent):
@@ -203,53 +203,57 @@
         The floor of the rest holds for places in the line too: a flood of urgent
         requests would else push out all others before their turn could come.
         """
-        urgent, rest = (self._classes[flag].queues.get(team, ()) for flag in (1, 0))
-        rest_has_too_many = len(rest) > REST_SHARE * (len(urgent) + len(rest))
-        waiting = (rest if rest_has_too_many else urgent or rest)[-1]
+        urgent, routine = (self._classes[flag].queues.get(team, ()) for flag in (1, 0))
+        routine_has_too_many = len(routine) > ROUTINE_SHARE * (
+            len(urgent) + len(routine)
+        )
+        waiting = (routine if routine_has_too_many else urgent or routine)[-1]
         self.drop(waiting)
         return waiting
 
     def _start_tag(self, team):
-        return max(self._virtual_ms, self._finish[team])
+        return max(self._virtual_ms, self._finish_tags[team])
 
     def _order(self):
         """All (class, team) with something waiting, in the order they should go."""
-        urgent, rest = self._classes[True], self._classes[False]
-        if not urgent.number:
-            self._rest_credit_ms = 0.0
-        tags = {team: self._start_tag(team) for team in (*urgent.queues, *rest.queues)}
+        urgent, routine = self._classes[True], self._classes[False]
+        if not urgent.count:
+            self._routine_credit_ms = 0.0
+        tags = {
+            team: self._start_tag(team) for team in (*urgent.queues, *routine.queues)
+        }
         teams = sorted(tags, key=tags.get)
         if not teams:
             return []
-        lead_ms = tags[teams[0]] + URGENT_LEAD_MS
+        urgent_bound_ms = tags[teams[0]] + MAX_URGENT_LEAD_MS
         first = [
             (urgent, team)
             for team in teams
-            if team in urgent.queues and tags[team] <= lead_ms
+            if team in urgent.queues and tags[team] <= urgent_bound_ms
         ]
         by_share = [
             (group, team)
             for team in teams
-            for group in (urgent, rest)
+            for group in (urgent, routine)
             if team in group.queues
         ]
-        if self._rest_credit_ms > 0:
-            owed = [(rest, team) for team in teams if team in rest.queues]
+        if self._routine_credit_ms > 0:
+            owed = [(routine, team) for team in teams if team in routine.queues]
             return owed + first + by_share
         return first + by_share
 
     def _charge_class(self, waiting):
         """Each ms for urgent work earns the rest its share; only while it waits."""
         if is_urgent(waiting.ask):
-            if self._classes[False].number:
-                earned = REST_SHARE / (1 - REST_SHARE)
-                self._rest_credit_ms += waiting.cost_ms * earned
+            if self._classes[False].count:
+                earned = ROUTINE_SHARE / (1 - ROUTINE_SHARE)
+                self._routine_credit_ms += waiting.cost_ms * earned
         else:
-            self._rest_credit_ms -= waiting.cost_ms
+            self._routine_credit_ms -= waiting.cost_ms
 
-    def _taken(self, group, waiting):
+    def _on_removed(self, group, waiting):
         team = waiting.ask.team
-        group.number -= 1
+        group.count -= 1
         group.cost_ms -= waiting.cost_ms
         if not group.queues[team]:
             del group.queues[team]
@@ -268,6 +272,6 @@
     return ask.priority >= URGENT_PRIORITY
 
 
-def _is_flipped(oldest, now_ms):
+def _serves_newest_first(oldest, now_ms):
     allowed_ms = oldest.deadline_ms - oldest.arrived_ms
-    return now_ms - oldest.arrived_ms > FLIP_SHARE * allowed_ms
+    return now_ms - oldest.arrived_ms > NEWEST_FIRST_SHARE * allowed_ms
--- a/alderreach/decisions/outliers.py
+++ b/alderreach/decisions/outliers.py
@@ -22,18 +22,18 @@
 
 ADJUST_MS = 200
 SLOW_RATIO = 2.0
-LEAST_WEIGHT = 0.05
+MIN_WEIGHT = 0.05
 DOWN_STEP = 0.4
 UP_STEP = 0.1
-LEARN_SHARE = 0.15
-LEAST_SAMPLES = 5
+SMOOTHING = 0.15
+MIN_SAMPLES = 5
 ERROR_SHARE = 0.5
 MAX_EJECTED_FRACTION = 0.34
-EJECT_FIRST_MS = 5000
-EJECT_MOST_MS = 60_000
+INITIAL_EJECT_MS = 5000
+MAX_EJECT_MS = 60_000
 PROBE_WEIGHT = 0.05
 DOWN_MS = 1000
-DOWN_AFTER = 2
+DOWN_AFTER_FAILURES = 2
 
 
 class _Target:
@@ -45,8 +45,8 @@
         self.samples = 0
         self.weight = 1.0
         self.ejected_until_ms = None
-        self.eject_ms = EJECT_FIRST_MS
-        self.unreached = 0
+        self.eject_ms = INITIAL_EJECT_MS
+        self.failed_connections = 0
         self.down_until_ms = None
 
 
@@ -86,22 +86,22 @@
         if target is None:
             return
         target.samples += 1
-        target.unreached = 0
+        target.failed_connections = 0
         target.down_until_ms = None
-        target.error_share += LEARN_SHARE * (float(is_error) - target.error_share)
+        target.error_share += SMOOTHING * (float(is_error) - target.error_share)
         if is_error:
             return
         if target.run_ms is None:
             target.run_ms = run_ms
-        target.run_ms += LEARN_SHARE * (run_ms - target.run_ms)
+        target.run_ms += SMOOTHING * (run_ms - target.run_ms)
 
     def on_unreachable(self, target_id, now_ms):
         """No connection to a runner came about."""
         target = self._targets.get(target_id)
         if target is None:
             return
-        target.unreached += 1
-        if target.unreached >= DOWN_AFTER:
+        target.failed_connections += 1
+        if target.failed_connections >= DOWN_AFTER_FAILURES:
             target.down_until_ms = now_ms + DOWN_MS
 
     def tick(self, now_ms):
@@ -109,11 +109,11 @@
         if now_ms < self._next_adjust_ms:
             return []
         self._next_adjust_ms = now_ms + ADJUST_MS
-        changes = self._return(now_ms) + self._eject(now_ms)
-        self._shift()
+        changes = self._start_probes(now_ms) + self._eject(now_ms)
+        self._adjust_weights()
         return changes
 
-    def _return(self, now_ms):
+    def _start_probes(self, now_ms):
         changes = []
         for target_id, target in self._targets.items():
             until_ms = target.ejected_until_ms
@@ -129,7 +129,7 @@
         shares = [target.error_share for target in self._targets.values()]
         if len(shares) < 2 or statistics.median(shares) >= ERROR_SHARE / 2:
             return []
-        most = int(MAX_EJECTED_FRACTION * len(shares))
+        max_ejected = int(MAX_EJECTED_FRACTION * len(shares))
         changes = []
         by_share = sorted(self._targets.items(), key=lambda e: -e[1].error_share)
         for target_id, target in by_share:
@@ -137,16 +137,16 @@
                 each.ejected_until_ms is not None for each in self._targets.values()
             )
             is_bad = target.error_share > ERROR_SHARE
-            if not is_bad or target.samples < LEAST_SAMPLES or ejected >= most:
+            if not is_bad or target.samples < MIN_SAMPLES or ejected >= max_ejected:
                 continue
             if target.ejected_until_ms is not None:
                 continue
             target.ejected_until_ms = now_ms + target.eject_ms
-            target.eject_ms = min(2 * target.eject_ms, EJECT_MOST_MS)
+            target.eject_ms = min(2 * target.eject_ms, MAX_EJECT_MS)
             changes.append(Change(target_id, "ejected"))
         return changes
 
-    def _shift(self):
+    def _adjust_weights(self):
         known = [t.run_ms for t in self._targets.values() if t.run_ms is not None]
         median_ms = statistics.median(known) if known else 0
         for target in self._targets.values():
@@ -156,13 +156,13 @@
             else:
                 target.weight = min(wanted, target.weight + UP_STEP)
             if target.weight >= 1.0:
-                target.eject_ms = EJECT_FIRST_MS
+                target.eject_ms = INITIAL_EJECT_MS
 
 
 def _wanted_weight(target, median_ms):
-    if target.error_share > ERROR_SHARE / 2 and target.samples >= LEAST_SAMPLES:
-        return max(LEAST_WEIGHT, 1 - target.error_share)
-    if target.run_ms is None or target.samples < LEAST_SAMPLES or median_ms <= 0:
+    if target.error_share > ERROR_SHARE / 2 and target.samples >= MIN_SAMPLES:
+        return max(MIN_WEIGHT, 1 - target.error_share)
+    if target.run_ms is None or target.samples < MIN_SAMPLES or median_ms <= 0:
         return 1.0 if target.samples == 0 else target.weight
     ratio = target.run_ms / median_ms
-    return 1.0 if ratio <= SLOW_RATIO else max(LEAST_WEIGHT, SLOW_RATIO / ratio)
+    return 1.0 if ratio <= SLOW_RATIO else max(MIN_WEIGHT, SLOW_RATIO / ratio)
--- a/alderreach/decisions/placement.py
+++ b/alderreach/decisions/placement.py
@@ -15,8 +15,8 @@
 
 from alderreach.decisions import resources
 
-RACKS = 8
-WORKERS_PER_RACK = 8
+MAX_RACKS_COMPARED = 8
+MAX_WORKERS_COMPARED = 8
 # Weight of leaving a worker lopsided (processors but no memory) against leaving it
 # empty.
 IMBALANCE_WEIGHT = 8.0
@@ -49,7 +49,11 @@
 
     ``racks_used`` and ``workers_used`` count the copies so far by rack and worker id.
     """
-    names = list(cell.racks) if len(cell.racks) <= RACKS else _sample(cell, random)
+    names = (
+        list(cell.racks)
+        if len(cell.racks) <= MAX_RACKS_COMPARED
+        else _sample_racks(cell, random)
+    )
     names.sort(key=lambda rack: racks_used.get(rack, 0))
     for name in names:
         worker = _best_in_rack(cell.racks[name], random, demand, workers_used)
@@ -58,15 +62,15 @@
     return None
 
 
-def _sample(cell, random):
+def _sample_racks(cell, random):
     names = cell.rack_names
-    return [names[int(random.random() * len(names))] for _ in range(RACKS)]
+    return [names[int(random.random() * len(names))] for _ in range(MAX_RACKS_COMPARED)]
 
 
 def _best_in_rack(workers, random, demand, workers_used):
     best, best_rank = None, None
     start = int(random.random() * len(workers))
-    for step in range(min(len(workers), WORKERS_PER_RACK)):
+    for step in range(min(len(workers), MAX_WORKERS_COMPARED)):
         worker = workers[(start + step) % len(workers)]
         if worker.bucket is None or not resources.fits(demand, worker.free):
             continue
--- a/alderreach/decisions/poison_jobs.py
+++ b/alderreach/decisions/poison_jobs.py
@@ -22,9 +22,9 @@
 JUDGE_AFTER_MS = 6_000
 # One loss is an ordinary VM's failure, two are chance in a cell that loses 58 VMs of
 # 10,000 a day; three young tasks of one job in a row are not.
-INCIDENTS = 3
+INCIDENT_LIMIT = 3
 # Losses of other workers that make it a rack's or a switch's.
-OTHERS = 2
+MIN_OTHER_LOSSES = 2
 REVIEW_INTERVAL_MS = 5_000
 LOSSES_KEPT = 64
 
@@ -34,7 +34,7 @@
 
     def __init__(self, state, park_permanently):
         self._state = state
-        self._condemn = park_permanently
+        self._park_permanently = park_permanently
         self._suspects = {}
         self._lost = collections.deque(maxlen=LOSSES_KEPT)
 
@@ -76,26 +76,28 @@
                 self._state.review_at(now_ms + REVIEW_INTERVAL_MS, job)
 
     def _judge(self, job):
-        mine, job.lost_on, job.judge_ms = job.lost_on, [], None
+        own_lost, job.lost_on, job.judge_ms = job.lost_on, [], None
         oldest_ms = self._state.now_ms - 2 * JUDGE_AFTER_MS
-        own = self._suspects.get(job, set()).union(mine)
+        known_lost = self._suspects.get(job, set()).union(own_lost)
         others = {
             worker_id
             for when_ms, worker_id in self._lost
-            if when_ms >= oldest_ms and worker_id not in own
+            if when_ms >= oldest_ms and worker_id not in known_lost
         }
-        if len(others) >= max(OTHERS, len(set(mine))) or self._has_survivor(job):
+        if len(others) >= max(
+            MIN_OTHER_LOSSES, len(set(own_lost))
+        ) or self._has_survivor(job):
             return
         job.incidents += 1
         job.limit = 1
-        self._suspects.setdefault(job, set()).update(mine)
-        if job.incidents >= INCIDENTS and not job.finished:
-            self._condemn(
-                job, f"its tasks took down {job.incidents} workers, last {mine[-1]}"
+        self._suspects.setdefault(job, set()).update(own_lost)
+        if job.incidents >= INCIDENT_LIMIT and not job.finished:
+            self._park_permanently(
+                job, f"its tasks took down {job.incidents} workers, last {own_lost[-1]}"
             )
-            self._exonerate(self._suspects.pop(job))
+            self._clear_explained(self._suspects.pop(job))
 
-    def _exonerate(self, explained):
+    def _clear_explained(self, explained):
         """End the probation of those who were only near what is now explained."""
         for suspect, workers in list(self._suspects.items()):
             if workers <= explained:
--- a/alderreach/decisions/pool.py
+++ b/alderreach/decisions/pool.py
@@ -88,7 +88,7 @@
         """Take up a worker, empty and open."""
         worker = Worker(worker_id, vm, rack, capacity)
         self.workers[worker_id] = worker
-        self._join(worker)
+        self._add_to_groups(worker)
         self.total = resources.plus(self.total, capacity)
         self.index.add(worker)
         return worker
@@ -98,8 +98,8 @@
         del self.workers[worker.worker_id]
         worker.is_open = False
         self.index.remove(worker)
-        self._tell_reservation(worker)
-        self._leave(worker)
+        self._notify_reservation(worker)
+        self._remove_from_groups(worker)
         self.total = resources.minus(self.total, worker.capacity)
 
     def allocate(self, worker, demand):
@@ -113,7 +113,7 @@
         """Record what already runs on a worker."""
         worker.free = resources.minus(worker.free, demand)
         self.index.move(worker)
-        self._tell_reservation(worker)
+        self._notify_reservation(worker)
 
     def release(self, worker, demand):
         """Return what ``take`` or ``charge`` gave out."""
@@ -128,31 +128,31 @@
     def reindex(self, worker):
         """Index a worker that may have gained room or been opened or closed."""
         self.index.grow(worker)
-        self._tell_reservation(worker)
+        self._notify_reservation(worker)
 
-    def _tell_reservation(self, worker):
+    def _notify_reservation(self, worker):
         if worker.held_for is not None:
             worker.held_for.changed[worker] = None
 
-    def _join(self, worker):
+    def _add_to_groups(self, worker):
         if worker.rack not in self.racks:
             self.racks[worker.rack] = []
             self.rack_names.append(worker.rack)
         self.racks[worker.rack].append(worker)
-        alike = self.by_capacity.setdefault(worker.capacity, [])
-        worker.rank = len(alike)
-        alike.append(worker)
+        same_size = self.by_capacity.setdefault(worker.capacity, [])
+        worker.rank = len(same_size)
+        same_size.append(worker)
 
-    def _leave(self, worker):
+    def _remove_from_groups(self, worker):
         rack = self.racks[worker.rack]
         rack.remove(worker)
         if not rack:
             del self.racks[worker.rack]
             self.rack_names.remove(worker.rack)
-        alike = self.by_capacity[worker.capacity]
-        last = alike.pop()
+        same_size = self.by_capacity[worker.capacity]
+        last = same_size.pop()
         if last is not worker:
-            alike[worker.rank] = last
+            same_size[worker.rank] = last
             last.rank = worker.rank
-        if not alike:
+        if not same_size:
             del self.by_capacity[worker.capacity]
