--- a/alderreach/decisions/__init__.py
+++ b/alderreach/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load, testable without a network."""
+"""Scheduling and admission policies, testable without a network."""
--- a/alderreach/decisions/actions.py
+++ b/alderreach/decisions/actions.py
@@ -1,4 +1,4 @@
-"""What a tick decides: starts, stops and jobs found impossible."""
+"""The decisions of a scheduler tick: starts, stops and impossible jobs."""
 
 import typing
 
@@ -25,7 +25,7 @@
 
 
 class Impossible(typing.NamedTuple):
-    """A job is parked, and why."""
+    """Report that a job is parked, with the reason."""
 
     job_id: str
     reason: str
--- a/alderreach/decisions/admission.py
+++ b/alderreach/decisions/admission.py
@@ -1,17 +1,19 @@
-"""What is let in to wait, and what is turned away at once.
-
-Queueing bursts without a limit makes every request late once the load exceeds the
-capacity, and lets one caller's burst delay everybody.
-
-- A newcomer is let in if it can be answered by its deadline: the slot time that waits
-  ahead of it over the slots, plus its own run time. Fair sharing bounds what is ahead
-  of a team that waits for little: its own backlog, times the weights it shares with.
-- ``RUN_MARGIN`` times the expected run time must remain after waiting.
-- The queue is bounded. When it is full, a newcomer of a team with less waiting for its
-  weight takes the place of the newest request of the team with most.
-- Who is turned away hears at once, and is told to come back when what waits now will
-  have been served, stretched at random by up to ``RETRY_SPREAD``: callers turned away
-  in one burst would else come back as one.
+"""Admission control: which requests may wait, and which are rejected at once.
+
+Without a limit on the queue every request is late once the load exceeds the capacity,
+and a burst of one caller delays all others.
+
+- A request is admitted if it can be answered by its deadline. An answer is expected
+  after the slot time queued ahead of it divided by the number of slots, plus its own
+  run time.
+  Fair sharing bounds what is ahead of a team with a short backlog: its own backlog,
+  scaled by the weights of the teams it shares the slots with.
+- ``RUN_MARGIN`` times the expected run time must remain after the wait.
+- The queue is bounded. When it is full, a request of a team with less waiting slot time
+  per weight replaces the newest request of the team with the most.
+- A rejected caller is answered at once and told to retry when the current backlog will
+  have been served. A random factor of up to 1 + ``RETRY_JITTER`` stretches that time:
+  callers rejected in one burst would otherwise all return together.
 """
 
 import typing
@@ -22,14 +24,14 @@
 
 
 class Estimate(typing.NamedTuple):
-    """What a newcomer faces; ``is_in_time`` says whether it can be answered."""
+    """A request's expected wait; ``is_in_time`` says whether it meets its deadline."""
 
     wait_ms: float
     is_in_time: bool
 
 
 def estimate(ask, backlog, run_ms, own_weight, slots, free_slots, now_ms):
-    """How long a newcomer would wait, and whether that leaves it time to run.
+    """Estimate how long a new request would wait, and whether it could still run.
 
     >>> import types
     >>> from alderreach.decisions import ordering
@@ -47,23 +49,24 @@
 
 
 def retry_after_ms(total_backlog_ms, run_ms, slots, random):
-    """When it helps to come back: what waits now has been served by then."""
+    """Return the delay before a retry: the time to serve the backlog, with jitter."""
     drained_ms = (total_backlog_ms + run_ms) / max(1, slots)
     wait_ms = max(MIN_RETRY_AFTER_MS, drained_ms)
     return int(wait_ms * (1 + RETRY_JITTER * random.random()))
 
 
 def may_displace(own_ms, heaviest_ms):
-    """Whether a newcomer may displace the newest of the team with most waiting.
+    """Whether a new request may displace the newest of the team with the most waiting.
 
-    Both are slot time that waits, by weight, the newcomer's own included. Places are
-    shared by slot time as slots are: by number, a team of short requests would keep
-    places for a few milliseconds of work, and turn away in each small burst.
+    Both arguments are waiting slot time per weight; ``own_ms`` includes the new
+    request. Places in the queue are shared by slot time, as slots are. Shared by the
+    number of requests, a team of short requests would get places for only a few
+    milliseconds of work and be rejected in every small burst.
     """
     return own_ms < heaviest_ms
 
 
 def is_hopeless(ask, run_ms, now_ms):
-    """Whether a waiting request could not be answered in time if it went now."""
+    """Whether a waiting request would miss its deadline even if it were sent now."""
     left_ms = ask.deadline_ms - now_ms
     return left_ms <= 0 or left_ms < run_ms
--- a/alderreach/decisions/backfill.py
+++ b/alderreach/decisions/backfill.py
@@ -1,20 +1,21 @@
-"""Reserved room is used by others while the reservation's owner can't use it yet.
-
-Load: a large gang waits an hour for its workers to drain. Without backfill half of the
-cell stands empty for that hour; with backfill by anything that fits, the gang waits for
-the fillers in turn.
-
-A task that is declared to end before the room is needed, with a margin, may run there.
-Declared run times are up to ten times off, so the margin can't be trusted either: what
-still runs when only its room is missing is stopped, by a checkpoint if it can, and its
-job is not trusted again. A task that can't checkpoint would lose its work, so its
-margin is as wide as declared times are wrong. Urgent tasks may use reserved room as it
-is.
+"""Backfill: short tasks run on reserved capacity that its owner can't use yet.
+
+A large gang can wait an hour for its workers to drain. Without backfill half of the
+cell is idle for that hour; if anything that fits were let in, the gang would wait for
+those tasks in turn.
+
+A task may run there if its declared run time, multiplied by a margin, ends before the
+reservation needs the capacity. Declared run times are wrong by up to a factor of ten,
+so the margin alone isn't enough: once a reservation lacks only the capacity that such
+tasks hold, they are stopped, by checkpoint if possible, and their jobs are not
+backfilled again. A task that can't checkpoint would lose its work, so its margin,
+``MARGIN_WITHOUT_CHECKPOINT``, is as large as that error. Urgent tasks may use capacity
+reserved for normal work without these conditions.
 """
 
 from alderreach.decisions import reservations, resources
 
-# How many times the declared run time must be left; for tasks that can't checkpoint.
+# Multiples of the declared run time that must remain until the capacity is needed.
 MARGIN = 2
 MARGIN_WITHOUT_CHECKPOINT = 10
 MAX_STARTS_PER_TICK = 32
--- a/alderreach/decisions/backlog.py
+++ b/alderreach/decisions/backlog.py
@@ -1,12 +1,13 @@
-"""What waits, in lines of equivalent tasks.
+"""The waiting tasks, grouped into lines of equivalent tasks.
 
-Load: tens of thousands of waiting tasks of a few kinds, and waves of as many
-cancellations. Tried one by one in a full cell, each of them costs a vain search.
+The backlog may hold tens of thousands of tasks of a few kinds, and cancellations come
+in waves of that size. Trying the tasks one by one in a full cell would cost a failed
+search for each of them.
 
-Tasks of the same team, priority, kind and demand are equivalent: they wait in one
-*line*, as jobs with a number of waiting tasks. If one of them can't be placed, none
-can, so a full cell costs one failed attempt per line. A cancelled job leaves its line
-in one step, however many tasks it has.
+Tasks of the same team, priority, kind and demand are equivalent. They wait in one
+*line*: a queue of jobs, each with its number of waiting tasks. If one task of a line
+can't be placed, none can, so a full cell costs one failed attempt per line. A cancelled
+job leaves its line in one step, however many tasks it has.
 """
 
 import collections
@@ -19,8 +20,8 @@
 class Line:
     """Jobs whose tasks are equivalent, oldest first.
 
-    ``turn`` says which of the gangs far behind was tried last, and ``retry_ms`` from
-    when on the next one may be.
+    Gangs far from the head are tried in turn: ``turn`` is the position of the one tried
+    last, ``retry_ms`` the earliest time of the next try.
     """
 
     __slots__ = (
@@ -61,7 +62,7 @@
         return next(iter(self.jobs.values()))
 
     def is_stuck(self):
-        """Whether it waits for room or for quota."""
+        """Whether it waits for capacity or for quota."""
         return self.blocked_since_ms is not None or self.quota_since_ms is not None
 
     def band(self):
@@ -70,7 +71,7 @@
 
 
 class Backlog:
-    """All lines, by band (urgent before normal) and team."""
+    """All lines, by priority band (urgent, normal) and team."""
 
     def __init__(self, cell, on_close):
         self._cell = cell
@@ -79,7 +80,7 @@
         self.bands = ({}, {})
 
     def add(self, job, first=False):
-        """Let a job wait in its line, at the front if it had started before."""
+        """Enqueue a job; ``first`` puts one that had started before at the front."""
         if job.line is not None or not job.waiting:
             return
         spec = job.spec
@@ -99,7 +100,7 @@
                 yield from lines
 
     def remove(self, job):
-        """Take a job out of its line."""
+        """Remove a job from its line."""
         line = job.line
         if line is None:
             return
--- a/alderreach/decisions/concurrency.py
+++ b/alderreach/decisions/concurrency.py
@@ -1,14 +1,14 @@
-"""How many requests of a service an entry has under way at once.
+"""An adaptive limit on the requests that an entry has in flight to one service.
 
-Runners whose slots share processors, a store or a lock get slower the more requests
-they are given, so filling every declared slot may make all requests late.
+Runners whose slots share processors, a store or a lock slow down as they get more
+requests, so filling every declared slot may make all requests late.
 
-The limit follows the run time: while the run times of late are near the best lately
-seen, it grows by its square root each round, which finds new room within seconds; once
-they are longer than ``TOLERANCE`` times that, it shrinks in proportion. Twice the best
-leaves room for medians of mixed work. ``BASE_WINDOWS``
-forgets a best time after about a minute, so that a service which became slower for good
-is not throttled for ever.
+The limit follows the run time. In each round it grows by its square root while the
+median run time is near the best of recent rounds, so new capacity is found within
+seconds. Once the median exceeds ``TOLERANCE`` times the best, the limit shrinks in
+proportion; a tolerance of two leaves room for the medians of mixed work. A best time is
+forgotten after ``BASELINE_ROUNDS``, about a minute, so a service that became slower for
+good is not throttled indefinitely.
 """
 
 import collections
@@ -23,7 +23,7 @@
 
 
 class Limit:
-    """The adaptive limit; ``least`` and ``most`` follow the known runners."""
+    """The adaptive limit; ``minimum`` and ``maximum`` follow the known runners."""
 
     def __init__(self, minimum=1, maximum=1):
         self._minimum = minimum
@@ -36,18 +36,18 @@
 
     @property
     def value(self):
-        """How many may be under way now."""
+        """How many requests may be in flight now."""
         return int(self._limit)
 
     def set_bounds(self, minimum, maximum):
-        """The limit stays within these; more runners let it start higher at once."""
+        """Set the bounds; a higher maximum raises the limit by the difference."""
         if maximum > self._maximum:
             self._limit += maximum - self._maximum
         self._minimum, self._maximum = minimum, maximum
         self._clamp()
 
     def observe(self, run_ms, in_flight, now_ms):
-        """A request was answered after ``run_ms`` while so many were under way."""
+        """Record a run time and how many requests were in flight when it ended."""
         self._samples.append(run_ms)
         self._was_full = self._was_full or in_flight >= self.value
         if self._round_ends_ms is None:
--- a/alderreach/decisions/draining.py
+++ b/alderreach/decisions/draining.py
@@ -1,38 +1,39 @@
-"""Who gets a reservation, and which workers are drained for it.
+"""Plans which gang or large task gets a reservation, and which workers drain for it.
 
-Load: a full cell with more waiting than it holds. Without reservations large work
-waits for ever; with one for everybody, half of the cell stands empty, waiting to drain.
+In a full cell with more work waiting than it holds, large work without reservations
+never starts; with a reservation for each, half of the cell is idle while it drains.
 
-The gang or large task that has waited longest goes first, urgent ones before others,
-and only for teams that have no more than their fair share among those who wait and for
-whom draining would make room. Of a random window of workers that could hold the demand,
-those with the least to end are taken. Up to ``RESERVATIONS`` drain at once; all but the
-oldest may together hold ``RESERVED_SHARE`` of the cell, which bounds what stands empty.
+Urgent work comes before normal work, then the gang or large task that has waited
+longest. Only teams with at most the mean share of the waiting teams qualify, and only
+work for which draining would free enough capacity. From a random window of workers that
+could hold the demand, those with the least work left to end are chosen. Up to
+``RESERVATIONS`` drain at once; all but the oldest together may hold at most
+``RESERVED_SHARE`` of the cell, which bounds the idle capacity.
 """
 
 import itertools
 
 from alderreach.decisions import reservations, resources
 
-# Short enough against the minutes that batch tasks run; long enough for a gang that
-# only waits for another to end not to empty workers in vain.
+# Short against the minutes that a batch task runs, and long enough that a gang that
+# only waits for another one to end drains no workers unnecessarily.
 RESERVE_AFTER_MS = 5_000
-# A large single task waits for one worker; passing it over for a while costs nobody.
+# A single large task needs only one worker, so a longer delay costs little.
 RESERVE_SINGLE_AFTER_MS = 15_000
 PLAN_INTERVAL_MS = 1_000
 RESERVATIONS = 4
 RESERVED_SHARE = 0.5
-# Workers looked at: enough to find mostly empty ones, and for large gangs all.
+# Workers examined of each size: enough to find nearly empty ones; for a large gang all.
 WINDOW = 256
 WINDOW_PER_TASK = 4
-# Rounding of shares must not exclude a team that is exactly at the average.
+# Tolerates rounding, which could exclude a team whose share is exactly the mean.
 SHARE_TOLERANCE = 1e-9
-# What became of a try to reserve.
+# The outcomes of ``_reserve``.
 RESERVED, UNABLE, TOO_MUCH = "reserved", "unable", "too_much"
 
 
 def plan(state, lines):
-    """Give the gang or large task that has waited longest a reservation, if due."""
+    """Reserve workers for the gang or large task that has waited longest, if due."""
     if state.now_ms < state.plan_at_ms:
         return
     state.plan_at_ms = state.now_ms + PLAN_INTERVAL_MS
@@ -57,16 +58,16 @@
                 unable.append(each)
         if not unable:
             return
-        # Counted on among those who wait, the unable would keep the mean so low that
-        # others are over it for as long as they wait.
+        # Teams that nothing can be reserved for don't count towards the mean: they
+        # would keep it so low that other teams stay above it.
         due = [each for each in due if each not in unable]
 
 
 def end_unused_savings(state, lines):
-    """Save no more quota for lines that lack room and have no reservation.
+    """Stop saving quota for lines that lack capacity and have no reservation.
 
-    ``lines`` have the quota they need. Their teams' other work is kept back for them,
-    so without this a gang that finds no room stops all of its team.
+    ``lines`` have the quota they need. Saved quota holds back the other work of their
+    teams, so a gang that finds no capacity would otherwise stop its whole team.
     """
     served = {reservation.line for reservation in state.reservations}
     latest_ms = state.now_ms - RESERVE_SINGLE_AFTER_MS
@@ -77,7 +78,7 @@
 
 
 def _find_due(state, line):
-    """Return (not urgent, since, line, gang or None) if a line is due, else None."""
+    """Return (is_normal, since_ms, line, gang or None) if a line is due, else None."""
     if line.reservation is not None:
         return None
     is_normal = not line.is_urgent
@@ -96,7 +97,7 @@
 
 
 def _reserve(state, line, job, existing):
-    """Return RESERVED, UNABLE if no drained workers would do, or else TOO_MUCH."""
+    """Return RESERVED, UNABLE if quota or workers don't suffice, or TOO_MUCH."""
     need = job.waiting if job else 1
     account = state.ledger.account(line.team)
     if not state.ledger.allows(account, resources.times(line.demand, need), line):
@@ -114,7 +115,7 @@
 
 
 def _find_drainable(state, demand, need):
-    """Return workers that suffice for ``need`` tasks when drained, None if none do."""
+    """Return workers that hold ``need`` tasks once drained, None if too few."""
     found = []
     window = max(WINDOW, WINDOW_PER_TASK * need)
     for worker in candidates(state, demand, window):
@@ -133,7 +134,7 @@
 
 
 def candidates(state, demand, window):
-    """Yield usable workers of every size that holds ``demand``, ``window`` of each."""
+    """Yield up to ``window`` usable workers of each size that can hold ``demand``."""
     for capacity, workers in state.cell.by_capacity.items():
         if not resources.fits(demand, capacity):
             continue
@@ -154,7 +155,7 @@
 
 
 def _drained_at_ms(state, workers):
-    """Return when, by the declared run times, the last task of the workers ends."""
+    """Return when the last task of the workers ends by its declared run time."""
     ends = [
         run.started_ms + run.job.spec.expected_run_ms
         for worker in workers
--- a/alderreach/decisions/endings.py
+++ b/alderreach/decisions/endings.py
@@ -1,31 +1,32 @@
-"""What follows the end of an attempt: done, tried again, or given up on.
+"""Handles the end of an attempt: the task is done, is retried or is given up.
 
-Load: tasks that fail at once, by the thousand. Retried at once and without end, a
-broken batch run takes as many placements as the whole rest of the cell, and a broken
+Tasks may fail immediately, by the thousand. Retried at once and without a limit, a
+broken batch run takes as many placements as all other work of the cell, and a broken
 service starts and stops several times a second.
 
-A batch task is given up on after ``FAILURES_ALLOWED`` failures, and a job after
-``FAILURES_IN_A_ROW`` on at least ``WORKERS_TO_BLAME_JOB`` workers without one success
-in between. A service is restarted for ever, with a pause that doubles if its tasks end,
-or are lost with their workers soon after they start. A gang that
-loses a task is stopped as a whole and starts again as a whole.
+A batch task is given up after ``MAX_FAILURES`` failures, and a job after
+``MAX_CONSECUTIVE_FAILURES`` failures on at least ``MIN_FAILING_WORKERS`` workers
+without a success in between. A service is restarted indefinitely, after a pause that
+doubles each time a task ends, or is lost with its worker soon after its start. A gang
+that loses a task is stopped completely and all its tasks start again together.
 """
 
-# A second try survives a fault of the worker, a third the bad luck of two of them.
+# A second attempt survives a faulty worker, a third one two of them in a row.
 MAX_FAILURES = 3
-# A task lost so often with its worker has probably caused it.
+# A task lost this often together with its worker is probably the cause.
 MAX_LOSSES = 4
 MAX_CONSECUTIVE_FAILURES = 32
 MIN_FAILING_WORKERS = 3
 INITIAL_PAUSE_MS = 100
 MAX_PAUSE_MS = 30_000
-# A service that ran for this long has recovered.
+# A service task that ran for this long resets the pause.
 HEALTHY_MS = 60_000
+# A loss this soon after the start counts against the task.
 EARLY_LOSS_MS = 60_000
 
 
 def handle_end(state, judge, poison_jobs, run, outcome):
-    """Take in how a run ended."""
+    """Release what a run held and, by its outcome, finish or retry its task."""
     job = run.job
     state.release(run)
     _update_counts(job, run, outcome)
@@ -40,8 +41,8 @@
     elif outcome in ("finished", "failed"):
         poison_jobs.clear_suspicion(job)
     if job.is_service():
-        # Also of a task that is no longer wanted: the service may grow again, and a
-        # worker takes a repeated attempt for one that it has started already.
+        # Kept also for a task that is no longer wanted: the service may grow again, and
+        # a worker takes a repeated attempt number for one that it has already started.
         job.attempts[run.number] = run.attempt
     if job.cancelled or run.number >= job.spec.tasks:
         return
@@ -52,7 +53,7 @@
 
 
 def record_past_end(state, job, number, attempt, outcome):
-    """Note an end that an earlier owner saw of a task that runs nowhere now."""
+    """Record an end that a previous owner saw, of a task that runs nowhere now."""
     if job.is_service() or outcome != "finished":
         job.attempts[number] = max(attempt, job.attempts.get(number, 0))
     elif number < job.spec.tasks and job.waiting and number not in job.final_numbers:
@@ -64,7 +65,7 @@
 
 
 def restore_losses(state, job, losses):
-    """Take up how often tasks were lost under earlier owners, and who was given up."""
+    """Restore the losses of tasks under previous owners; give up those at the limit."""
     for number, count in losses.items():
         job.losses[number] = count
         is_open = (
@@ -78,7 +79,7 @@
 
 
 def review(state, job):
-    """Let a job wait again whose pause is over; stop a gang that is left in part."""
+    """Enqueue a job whose pause is over; restart a gang that runs only in part."""
     if job.is_gang() and job.runs and job.waiting and not job.cancelled:
         _restart_gang(state, job)
     state.wait(job)
@@ -107,7 +108,7 @@
     if outcome in ("finished", "failed"):
         _pause(state, run)
     elif _is_early_loss(state, run, outcome) and not is_pausing:
-        # Once for all that a rack takes with it.
+        # One pause for all tasks lost with a rack.
         _pause(state, run)
     job.requeue(run.number)
     state.wait(job, first=True)
@@ -129,7 +130,7 @@
     if outcome == "finished":
         job.finished += 1
         job.mark_final(number)
-        # The rest of a gang may have been waiting for this one to end.
+        # The other tasks of a gang may have been waiting for this one to end.
         state.wait(job, first=True)
         return
     if job.given_up or _exhausts_attempts(state, run, outcome):
@@ -152,7 +153,7 @@
 
 
 def _give_up_lost(job, number):
-    """Give up a task that was lost too often; the count stays for the next owner."""
+    """Give up a task that was lost too often; keep its count for the next owner."""
     job.failed += 1
     job.mark_final(number)
     job.losses[number] = MAX_LOSSES
@@ -192,7 +193,7 @@
 
 
 def _restart_gang(state, job):
-    """Stop what is left of a gang; it starts again as a whole."""
+    """Stop the running tasks of a gang, so that all its tasks start again together."""
     state.backlog.remove(job)
     for run in job.runs.values():
         state.stop(run, run.gentlest_stop())
--- a/alderreach/decisions/first_fit.py
+++ b/alderreach/decisions/first_fit.py
@@ -1,7 +1,7 @@
-"""The baseline scheduler of the benches: first job, first worker that has room.
+"""The baseline scheduler of the benchmarks: first job, first worker with free capacity.
 
-It keeps the same calls as the scheduler it is compared with and weighs nothing:
-neither waiting nor packing, no fairness, no preemption, no retry limit.
+It has the interface of the scheduler that it is compared with, but no fairness, no
+packing, no preemption and no retry delay, and it ignores how long work has waited.
 """
 
 from alderreach.core.generated import common
@@ -24,7 +24,7 @@
 
 
 class _Worker:
-    """One worker with what is left of it."""
+    """One worker and its free capacity."""
 
     def __init__(self, capacity):
         self.capacity = capacity
@@ -33,17 +33,17 @@
 
 
 def minus(left, right):
-    """Subtract resources, each kind by itself."""
+    """Subtract resources kind by kind."""
     return common.Resources(*(a - b for a, b in zip(left, right, strict=True)))
 
 
 def fits(task, free):
-    """Whether ``free`` has room for ``task``."""
+    """Whether ``task`` fits into ``free``."""
     return all(a <= b for a, b in zip(task, free, strict=True))
 
 
 class Scheduler:
-    """Jobs in order of arrival, workers in order of id."""
+    """Places jobs in order of arrival on workers in order of id."""
 
     def __init__(self, random):
         self._random = random
@@ -60,14 +60,14 @@
         """Ignore teams."""
 
     def add_worker(self, worker_id, vm, rack, capacity):
-        """Add a worker, open for work, with the tasks restored on it counted."""
+        """Add an open worker; tasks already restored on it use its capacity."""
         worker = self._workers[worker_id] = _Worker(capacity)
         for task in self._tasks.values():
             if task.worker_id == worker_id:
                 worker.free = minus(worker.free, self._jobs[task.job_id].task)
 
     def remove_worker(self, worker_id):
-        """Forget a worker; its tasks are ended by ``task_ended``."""
+        """Remove a worker; ``task_ended`` reports the end of its tasks."""
         self._workers.pop(worker_id, None)
 
     def set_open(self, worker_id, is_open):
@@ -82,21 +82,21 @@
             self._tasks.setdefault(f"{job.job_id}/{number}", _Task(job.job_id))
 
     def cancel(self, job_id, now_ms):
-        """Start nothing more of a job and stop what runs."""
+        """Start no more tasks of a job and stop the running ones."""
         self._cancelled.add(job_id)
 
     def restore(self, task_id, attempt, job_id, worker_id):
-        """Note a task that is known to run already."""
+        """Record a task that already runs."""
         task = self._tasks[task_id]
         task.attempt, task.state, task.worker_id = attempt, "running", worker_id
         self._reserve(worker_id, self._jobs[job_id].task)
 
     def task_started(self, task_id, now_ms):
-        """Note that a worker runs the task."""
+        """Record that a worker runs the task."""
         self._tasks[task_id].state = "running"
 
     def task_ended(self, task_id, attempt, outcome, now_ms):
-        """Note how an attempt ended; all but finished may be started again."""
+        """Record how an attempt ended; any outcome but finished may be retried."""
         task = self._tasks.get(task_id)
         if task is None or (task.worker_id and task.attempt != attempt):
             return
@@ -117,7 +117,7 @@
         """Ignore usage: the baseline trusts what jobs declare."""
 
     def tick(self, now_ms, budget):
-        """Decide; returns at most ``budget`` of Start, Stop and Impossible."""
+        """Return the next decisions, about ``budget`` of Start and Stop."""
         decided = []
         for job in self._jobs.values():
             if len(decided) >= budget:
@@ -134,7 +134,7 @@
         return "open" if worker is not None and worker.open else "closed"
 
     def job_status(self, job_id):
-        """Return the job's JobStatus, with epoch and time left to the caller."""
+        """Return the job's JobStatus; the caller fills in epoch and time."""
         job = self._jobs[job_id]
         states = [self._tasks[f"{job_id}/{n}"].state for n in range(job.tasks)]
         running = sum(state in ("starting", "running") for state in states)
--- a/alderreach/decisions/gangs.py
+++ b/alderreach/decisions/gangs.py
@@ -1,28 +1,29 @@
-"""Gangs start whole or not at all.
+"""Gangs start all their tasks together or none.
 
-Load: gangs of tens to hundreds of tasks among a stream of small tasks. Started as room
-appears, two gangs that each want more than half of the cell end up half placed and wait
-for each other for ever.
+Gangs of tens to hundreds of tasks wait among a stream of small tasks. If their tasks
+started as capacity became free, two gangs that each need more than half of the cell
+could end up half placed and wait for each other forever.
 
-A try takes room for all tasks or gives back all it took, so between two tries a gang
-holds nothing. A vain try costs up to a search per task; ``RETRY_MS`` keeps that under a
-hundredth of a core for a gang of a hundred tasks and is small against the time a gang
-waits. Who is passed over for long gets a reservation (``draining``).
+An attempt allocates capacity for all tasks or returns all it allocated, so a gang holds
+nothing between attempts. A failed attempt costs up to one search per task. At one
+attempt per ``RETRY_MS`` that is less than a hundredth of a core for a gang of a hundred
+tasks, and the delay is small against the time a gang waits. Gangs that are passed over
+for long get a reservation (``draining``).
 """
 
 from alderreach.decisions import placement, poison_jobs, resources
 
 RETRY_MS = 100
-# Budget of a vain try: one search finds room for about this many tasks.
+# Cost of a failed attempt: one search finds capacity for about this many tasks.
 TASKS_PER_SEARCH = 8
 
 
 def place(state, job, line, account):
-    """Start a gang if there is room for all of it; returns what the try cost."""
+    """Start a gang if all its tasks fit; returns what the attempt cost."""
     wanted = job.waiting
-    whole = resources.times(line.demand, wanted)
-    if not state.ledger.allows(account, whole, line):
-        state.ledger.note_used_up(account, line, whole, state.now_ms)
+    total_demand = resources.times(line.demand, wanted)
+    if not state.ledger.allows(account, total_demand, line):
+        state.ledger.note_used_up(account, line, total_demand, state.now_ms)
         job.retry_ms = state.now_ms + RETRY_MS
         return 1
     workers = find_workers(state, line.shape, wanted, is_suspect=job.limit > 0)
@@ -35,7 +36,7 @@
 
 
 def mark_blocked(state, job):
-    """Remember since when a gang has found no room."""
+    """Record the time since which a gang has found no capacity."""
     if job.blocked_since_ms is None:
         job.blocked_since_ms = state.now_ms
     if job.line is not None and job.line.blocked_since_ms is None:
@@ -43,9 +44,9 @@
 
 
 def find_workers(state, shape, wanted, is_suspect=False):
-    """Return one worker for each of ``wanted`` tasks, None if there aren't as many.
+    """Return a worker for each of ``wanted`` tasks, None if not all of them fit.
 
-    A gang that ``is_suspect`` goes beside no other suspect if it can.
+    With ``is_suspect``, workers that run other suspects are avoided if possible.
     """
     cell, demand = state.cell, shape.demand
     chosen = []
--- a/alderreach/decisions/impossible.py
+++ b/alderreach/decisions/impossible.py
@@ -1,16 +1,16 @@
-"""Jobs that can't run are named, parked and cost nothing while they are.
-
-Load: a task declared ten times too large, a gang larger than the cell, a job whose
-team's quota is below one task. Left in line they are tried for ever, and their senders
-wait without being told.
-
-A job is checked when it is submitted and again when its line has been blocked for
-``CONFIRM_AFTER_MS``; the check compares it with the sizes workers come in, of which there are
-few. Parked jobs are looked at again only after a worker or a quota has come, at most
-``CHECKS_PER_TICK`` in a tick. A job is named after it has been parked for
-``CONFIRM_AFTER_MS``: after a takeover the workers announce themselves one by one, and a job is
-not impossible because the largest of them comes last. Naming is not final; a larger
-worker lets the job wait again.
+"""Jobs that can't run are parked and reported, and cost nothing while they are parked.
+
+A task may be declared ten times too large, a gang may be larger than the cell, or a
+team's quota smaller than one task. Left in line, such jobs would be tried again
+forever, and their submitters would wait without an explanation.
+
+A job is checked when it is submitted, and again when its line has been blocked for
+``CONFIRM_AFTER_MS``. The check compares it with the worker sizes in the cell, of which
+there are few. Parked jobs are checked again only after a worker or a quota was added,
+at most ``MAX_CHECKS_PER_TICK`` of them in a tick. A job is reported after it has been
+parked for ``CONFIRM_AFTER_MS``: after a takeover the workers announce themselves one by
+one, and a job is not impossible because the largest worker comes last. A report is not
+final: a larger worker lets the job wait again.
 """
 
 import collections
@@ -18,13 +18,13 @@
 
 from alderreach.decisions import actions, resources
 
-# Workers announce themselves every second; ten are the slowest of them twice over.
+# Workers announce themselves every second; this is twice the time of the slowest.
 CONFIRM_AFTER_MS = 10_000
 MAX_CHECKS_PER_TICK = 128
 
 
 class Parking:
-    """The jobs that can't run, and why."""
+    """The jobs that can't run, each with the reason."""
 
     def __init__(self, state):
         self._state = state
@@ -33,7 +33,7 @@
         self._to_check = 0
 
     def admit(self, job):
-        """Let a job wait, or park it."""
+        """Enqueue a job, or park it if it can't run."""
         reason = reason_for(self._state, job)
         if reason:
             self.park(job, reason)
@@ -41,7 +41,7 @@
             self._state.wait(job)
 
     def park(self, job, reason):
-        """Take a job out of the way until what it lacks comes."""
+        """Remove a job from the backlog until what it lacks is available."""
         job.parked = reason
         self._state.backlog.remove(job)
         job.report_ms = self._state.now_ms + CONFIRM_AFTER_MS
@@ -49,28 +49,28 @@
         heapq.heappush(self._unreported, (job.report_ms, job.spec.job_id))
 
     def park_permanently(self, job, reason):
-        """Park a job for good and name it at once."""
+        """Park a job permanently and report it at once."""
         job.parked = reason
         job.reported = True
         self._state.backlog.remove(job)
         self._state.decisions.append(actions.Impossible(job.spec.job_id, reason))
 
     def forget(self, job):
-        """A parked job was cancelled."""
+        """Forget a parked job that was cancelled or has ended."""
         self._parked.pop(job.spec.job_id, None)
 
     def on_supply_changed(self):
-        """A worker or a quota has come: look at what is parked again."""
+        """Schedule a check of all parked jobs after a worker or a quota was added."""
         self._to_check = len(self._parked)
 
     def check_parked(self):
-        """Let jobs wait again that lacked what has come."""
+        """Enqueue parked jobs that can run now, within the bound per tick."""
         for _ in range(min(self._to_check, MAX_CHECKS_PER_TICK, len(self._parked))):
             self._to_check -= 1
             self._check_oldest()
 
     def check_lines(self, lines):
-        """Park what can't run of lines long blocked."""
+        """Park the impossible jobs of lines that have been blocked for long enough."""
         for line in lines:
             self._check_line(line)
 
@@ -83,8 +83,8 @@
         else:
             job.parked = ""
             job.reported = False
-            # A review that found the job parked was the last; without another, what it
-            # was to end, as a probation, would never end.
+            # Reviews stop once one finds the job parked. Without another review what
+            # they are to end, such as a probation, would never end.
             self._state.review_at(self._state.now_ms, job)
             self._state.wait(job)
 
@@ -102,7 +102,7 @@
                 self.park(job, reason)
 
     def report_due(self):
-        """Name the jobs that have been parked for long enough."""
+        """Report the jobs that have been parked for ``CONFIRM_AFTER_MS``."""
         state = self._state
         for _ in range(MAX_CHECKS_PER_TICK):
             if not self._unreported or self._unreported[0][0] > state.now_ms:
@@ -115,7 +115,7 @@
 
 
 def reason_for(state, job):
-    """Return why no worker could ever hold a job, empty if one could."""
+    """Return why a job can't run in this cell, or an empty string if it can."""
     spec = job.spec
     account = state.ledger.account(spec.team)
     if not account.known:
--- a/alderreach/decisions/jobs.py
+++ b/alderreach/decisions/jobs.py
@@ -1,12 +1,11 @@
-"""Waiting and running jobs, kept as counts wherever a count will do.
+"""Waiting and running jobs, kept as counts wherever a count is enough.
 
-Load: batch runs of tens of thousands of identical tasks, and waves of as many
-cancellations. With an object per waiting task, both cost as much as the placements
-they replace.
+Batch runs have tens of thousands of identical tasks, and cancellations come in waves of
+that size. With an object per waiting task, both would cost as much as the placements.
 
-A job knows its waiting tasks by their number and the few that came back; only a
-running task has an object of its own. A task gets its number when it starts: first
-those that came back (preempted, lost), then new ones, last those that failed.
+A job stores the number of its waiting tasks and the few that were requeued; only a
+running task has an object of its own. A task gets its number when it starts: first the
+requeued ones (preempted, lost), then new ones, and last those that failed.
 """
 
 URGENT_PRIORITY = 7
@@ -39,16 +38,18 @@
         return f"{self.job.spec.job_id}/{self.number}"
 
     def gentlest_stop(self):
-        """Return checkpoint if the task can, else stop."""
+        """Return checkpoint if the task supports it, else stop."""
         return "checkpoint" if self.job.spec.checkpoint else "stop"
 
 
 class JobState:
-    """What is known of one job.
+    """The state of one job.
 
-    ``limit`` bounds its running tasks while it is suspected of harm (0 is no bound),
-    ``parked`` is why it may not run at all. ``declared`` is what its team declared for
-    a task, ``spec.task`` what a task is given.
+    ``limit`` bounds the running tasks of a job that is suspected of crashing workers; 0
+    is no bound. ``parked`` is the reason why the job can't run at all. ``declared`` is
+    the demand of a task as its team declared it, ``spec.task`` what a task is given.
+    ``final_numbers`` are the tasks that ended for good before ``next_number`` reached
+    them, ``postponed`` those that failed and run last.
     """
 
     __slots__ = (
@@ -136,21 +137,22 @@
         return self.spec.kind == "gang"
 
     def is_service(self):
-        """Whether its tasks are kept running."""
+        """Whether its tasks are restarted whenever they end."""
         return self.spec.kind == "service"
 
     def is_urgent(self):
-        """Whether it goes before all normal work and may displace it."""
+        """Whether it runs before all normal work and may preempt it."""
         return self.spec.priority >= URGENT_PRIORITY
 
     def is_pinned(self):
-        """Whether its tasks can't be counted on to end soon or to give way."""
+        """Whether its tasks can't be expected to end soon or to be preempted."""
         return self.is_service() or self.is_urgent()
 
     def next_task(self):
         """Return the number of a waiting task and count it as no longer waiting.
 
-        Failed tasks come last, when other work has shown whether it was the worker.
+        Failed tasks come last: by then other tasks have shown whether the worker or the
+        task was at fault.
         """
         self.waiting -= 1
         if self.requeued:
@@ -164,20 +166,20 @@
         return self.next_number - 1
 
     def requeue(self, number, failed=False):
-        """Let a task wait again."""
+        """Count a task as waiting again; one that ``failed`` runs after all others."""
         self.waiting += 1
         if number < self.next_number:
             (self.postponed if failed else self.requeued).append(number)
 
     def claim(self, number):
-        """Count one certain task as no longer waiting."""
+        """Count the task of this number as no longer waiting."""
         self.waiting -= 1
         for numbers in (self.requeued, self.postponed):
             if number in numbers:
                 numbers.remove(number)
 
     def resize(self, tasks):
-        """Take over a service's new number of tasks."""
+        """Apply a service's new number of tasks."""
         self.spec = self.spec._replace(tasks=tasks)
         self.next_number = 0
         self.requeued.clear()
@@ -185,7 +187,7 @@
         self.waiting = sum(1 for number in range(tasks) if number not in self.runs)
 
     def mark_final(self, number):
-        """Count a task that waits no more as ended for good."""
+        """Record that a task which no longer waits has ended for good."""
         if number >= self.next_number:
             self.final_numbers.add(number)
         self.attempts.pop(number, None)
@@ -194,7 +196,7 @@
         self.losses.pop(number, None)
 
     def is_done(self):
-        """Whether nothing runs and nothing will."""
+        """Whether no task runs and none will start."""
         if self.runs:
             return False
         return self.cancelled or (not self.waiting and not self.is_service())
--- a/alderreach/decisions/maintenance.py
+++ b/alderreach/decisions/maintenance.py
@@ -1,13 +1,13 @@
-"""When a maintenance window closes and clears its VMs, and whether it can be met.
+"""The phases of a maintenance window, and whether a declared window can be met.
 
-The VMs of a window are stopped at a fixed date. Without a lead, new work would land on
-them until the last moment and be cut. So a window goes through phases: ``declared``;
-``closed`` (no new work, what runs may finish); ``clearing`` (runners leave, tasks are
-checkpointed or stopped and start elsewhere); ``over``.
+The VMs of a window are stopped at a fixed time. Without a lead time, new work would be
+placed on them until they stop, and be cut off. So a window passes through phases:
+``declared``; ``closed`` (no new work, running work may finish); ``clearing`` (runners
+leave, tasks are checkpointed or stopped and start elsewhere); ``over``.
 
-``CLOSE_LEAD_MS`` lets batch tasks of some minutes finish by themselves;
-``CLEAR_LEAD_MS`` covers a checkpoint, a start elsewhere and a runner's last answers;
-a task that can't be checkpointed may go on until ``STOP_LEAD_MS`` before the start.
+``CLOSE_LEAD_MS`` lets batch tasks of some minutes finish. ``CLEAR_LEAD_MS`` covers a
+checkpoint, a start elsewhere and a runner's last answers. A task that can't checkpoint
+may go on until ``STOP_LEAD_MS`` before the start.
 """
 
 from alderreach.core.generated import common
@@ -35,7 +35,7 @@
 
 
 def phase_of(windows, vm, rack, now_wall_ms):
-    """Return the sternest phase of all windows that cover a VM; empty if none does."""
+    """Return the strictest phase of all windows that cover a VM; empty if none does."""
     order = ("", "declared", "closed", "clearing")
     phases = [""]
     for window in windows:
@@ -56,12 +56,12 @@
 
 
 def check_window(window, targets, teams=(), now_wall_ms=None):
-    """Say at declaration why a window can't be met; an empty list if it can.
+    """Return why a window can't be met, an empty list if it can.
 
-    ``targets`` are the TargetRows of the window's failure domain. What is reserved on
-    the VMs to be stopped must fit on the open workers outside, kind by kind, and its
-    largest share must fit on one of them as far as rows can tell. ``teams`` add no
-    reason today: a quota does not change when work moves.
+    The check runs when the window is declared. ``targets`` are the TargetRows of the
+    window's failure domain. What is reserved on the VMs to be stopped must fit into the
+    free capacity of the ready workers outside, kind by kind. ``teams`` is not used: a
+    quota does not change when work moves.
 
     >>> check_window(window, rows)  # doctest: +SKIP
     ['8000 cpu_millis must move, but only 4000 are free elsewhere']
--- a/alderreach/decisions/ordering.py
+++ b/alderreach/decisions/ordering.py
@@ -1,21 +1,21 @@
-"""Who goes next of the requests that wait.
-
-Orders urgent and routine requests, teams with much and little load, and long and short
-requests that compete for the same slots.
-
-- Teams share by slot time, not by requests: each start costs a team the run time
-  learned for it, corrected once the true one is known (start-time fair queueing).
-- Urgent requests go first, but ``REST_SHARE`` of the slot time stays with the rest. A
-  fifth keeps routine work moving, while urgent work at up to four fifths of capacity
-  waits for at most one slot to come free.
-- Urgent work goes first only up to ``URGENT_LEAD_MS`` of slot time beyond its team's
-  share: a team that calls all of its flood urgent would else hold four fifths of the
-  slots against everybody. A tenth of a second of slot time is a burst of twenty
-  requests of 5 ms, which a quiet team may send at once.
-- Within a team the oldest goes first, which is fairest while deadlines are met. Once
-  the oldest has spent ``FLIP_SHARE`` of its time waiting, the newest goes first: under
-  overload the oldest would be answered just too late, one after the other, and all
-  slots would work for answers nobody takes.
+"""Decides which of a service's waiting requests goes next.
+
+Urgent and routine requests, teams with much and little load, and long and short
+requests compete for the same slots.
+
+- Teams share slot time, not requests: each start is charged with the run time learned
+  for the team, and corrected once the true one is known (start-time fair queueing).
+- Urgent requests go first, but routine requests keep ``ROUTINE_SHARE`` of the slot
+  time. A fifth keeps routine work moving, while urgent work at up to four fifths of the
+  capacity waits for at most one slot to become free.
+- Urgent work goes first only until its team is ``MAX_URGENT_LEAD_MS`` of slot time
+  ahead of its share. Otherwise a team that marks all of its flood as urgent would hold
+  four fifths of the slots against everybody. A tenth of a second of slot time is a
+  burst of twenty requests of 5 ms, which a team with little load may send at once.
+- Within a team the oldest request goes first, which is fairest while deadlines are met.
+  Once the oldest has waited for ``NEWEST_FIRST_SHARE`` of its allowed time, the newest
+  goes first: under overload, oldest-first order would answer one request after the
+  other just too late, and all slots would work on answers that nobody receives.
 """
 
 import collections
@@ -31,9 +31,10 @@
 
 
 class RunTimes:
-    """Run times of one service, learned for each team; declared ones are far off.
+    """Run times of one service, learned for each team.
 
-    The declared run time is believed only until the first request has ended.
+    Declared run times are far off, so the declared one is used only until the first
+    request has ended.
     """
 
     def __init__(self, declared_ms=0):
@@ -42,21 +43,21 @@
         self._overall_ms = None
 
     def set_declared(self, declared_ms):
-        """Take what the configuration says now."""
+        """Set the run time that the configuration declares; 0 means the default."""
         self._declared_ms = declared_ms or DEFAULT_RUN_MS
 
     def expected_ms(self, team):
-        """How long a request of a team holds a slot."""
+        """How long a request of a team is expected to hold a slot."""
         learned_ms = self._teams.get(team, self._overall_ms)
         return self._declared_ms if learned_ms is None else learned_ms
 
     @property
     def overall_ms(self):
-        """How long any request of the service holds a slot."""
+        """How long a request of any team is expected to hold a slot."""
         return self._declared_ms if self._overall_ms is None else self._overall_ms
 
     def observe(self, team, run_ms):
-        """A request of a team has held a slot for so long."""
+        """Record how long a request of a team held a slot."""
         run_ms = max(run_ms, MIN_RUN_MS)
         self._teams[team] = _smooth(self._teams.get(team), run_ms)
         self._overall_ms = _smooth(self._overall_ms, run_ms)
@@ -69,7 +70,7 @@
 
 
 class Waiting(typing.NamedTuple):
-    """A request in the line; ``cost_ms`` is the slot time it is expected to take."""
+    """A waiting request; ``cost_ms`` is the slot time it is expected to take."""
 
     ask: typing.Any
     avoided: tuple[str, ...]
@@ -77,7 +78,7 @@
 
 
 class _PriorityClass:
-    """The waiting requests of one class of urgency, by team."""
+    """The waiting requests of one priority class (urgent or routine), by team."""
 
     def __init__(self):
         self.queues = {}
@@ -100,15 +101,15 @@
         return sum(group.count for group in self._classes.values())
 
     def set_weights(self, weights):
-        """Take the teams' fair shares, by name."""
+        """Set the teams' weights, by name."""
         self._weights = weights
 
     def weight(self, team):
-        """A team's fair share against others; at least 1."""
+        """Return a team's weight in fair sharing; at least 1."""
         return max(1, self._weights.get(team, 1))
 
     def push(self, waiting, first=False):
-        """Add a request; ``first`` puts one that has waited before at its front."""
+        """Add a request; ``first`` puts one that waited before at the front."""
         group = self._classes[is_urgent(waiting.ask)]
         queue = group.queues.setdefault(waiting.ask.team, collections.deque())
         if first:
@@ -119,30 +120,31 @@
         group.cost_ms += waiting.cost_ms
 
     def head(self, now_ms, skipped=()):
-        """The request to go next, or None; ``pop`` then takes it out.
+        """Return the request to go next, or None; ``pop`` then removes it.
 
-        ``skipped`` holds request ids of heads that can't go now; they are those that
-        avoid a runner, and others of their team may use it.
+        ``skipped`` holds the ids of requests that can't go now because they avoid the
+        free runners; later requests of their team may use these runners.
         """
         for group, team in self._order():
             queue = group.queues[team]
-            takes_newest = len(queue) > 1 and _serves_newest_first(queue[0].ask, now_ms)
-            for waiting in reversed(queue) if takes_newest else queue:
+            newest_first = len(queue) > 1 and _serves_newest_first(queue[0].ask, now_ms)
+            for waiting in reversed(queue) if newest_first else queue:
                 if waiting.ask.request_id not in skipped:
                     return waiting
         return None
 
     def drop(self, waiting):
-        """Take out a request that waits."""
+        """Remove a waiting request without charging its team."""
         group = self._classes[is_urgent(waiting.ask)]
         group.queues[waiting.ask.team].remove(waiting)
         self._on_removed(group, waiting)
 
     def pop(self, waiting):
-        """Take out what ``head`` gave: it goes now, and its team pays for it."""
+        """Remove the request that ``head`` returned, and charge its team for it."""
         team = waiting.ask.team
-        # Not the tag of who goes: urgent work runs ahead of its share, and a virtual
-        # time that followed it would wipe out what the others are behind.
+        # The minimum, not the tag of the request that goes: urgent work runs ahead of
+        # its share, and a virtual time that followed it would erase what the other
+        # teams are owed.
         tags = (self._start_tag(name) for g in self._groups for name in g.queues)
         self._virtual_ms = min(tags)
         self.drop(waiting)
@@ -150,16 +152,16 @@
         self.charge(team, waiting.cost_ms)
 
     def charge(self, team, cost_ms):
-        """Let slot time count against a team's share; negative gives it back."""
+        """Charge slot time to a team's share; a negative cost refunds it."""
         spent_ms = cost_ms / self.weight(team)
         self._finish_tags[team] = self._start_tag(team) + spent_ms
 
     def correct(self, team, difference_ms):
-        """The true cost of a request that was charged differs by so much."""
+        """Adjust a team's charge by the difference between true and expected cost."""
         self._finish_tags[team] += difference_ms / self.weight(team)
 
     def remove(self, condition):
-        """Take out and return all requests whose ``Waiting`` meets a condition."""
+        """Remove and return all waiting requests that meet a condition."""
         removed = []
         for group in self._classes.values():
             for team in list(group.queues):
@@ -170,7 +172,7 @@
         return removed
 
     def backlog(self, team, urgent):
-        """What waits ahead of a newcomer: (its team's, all teams', weights) in ms."""
+        """Return the ``Backlog`` ahead of a new request of a team."""
         groups = [self._classes[True]]
         if not urgent:
             groups.append(self._classes[False])
@@ -183,7 +185,7 @@
         return Backlog(own_ms, total_ms, weights)
 
     def heaviest(self):
-        """The team with most slot time waiting by its weight: (team, ms per weight)."""
+        """Return the team with most waiting slot time per weight, and that time."""
         shares = {
             team: self.cost_of(team) / self.weight(team)
             for group in self._classes.values()
@@ -193,15 +195,15 @@
         return team, shares.get(team, 0.0)
 
     def cost_of(self, team):
-        """The slot time a team's waiting requests ask for."""
+        """Return the expected slot time of all waiting requests of a team."""
         queues = (group.queues.get(team, ()) for group in self._classes.values())
         return sum(each.cost_ms for queue in queues for each in queue)
 
     def pop_newest(self, team):
-        """Take out the request of a team that came last, of the class with too many.
+        """Remove and return a team's newest request, of the class over its share.
 
-        The floor of the rest holds for places in the line too: a flood of urgent
-        requests would else push out all others before their turn could come.
+        ``ROUTINE_SHARE`` holds for places in the queue too: otherwise a flood of urgent
+        requests would displace all routine ones before they could go.
         """
         urgent, routine = (self._classes[flag].queues.get(team, ()) for flag in (1, 0))
         routine_has_too_many = len(routine) > ROUTINE_SHARE * (
@@ -215,7 +217,7 @@
         return max(self._virtual_ms, self._finish_tags[team])
 
     def _order(self):
-        """All (class, team) with something waiting, in the order they should go."""
+        """Return all (class, team) with waiting requests, in the order of service."""
         urgent, routine = self._classes[True], self._classes[False]
         if not urgent.count:
             self._routine_credit_ms = 0.0
@@ -243,7 +245,7 @@
         return first + by_share
 
     def _charge_class(self, waiting):
-        """Each ms for urgent work earns the rest its share; only while it waits."""
+        """Credit waiting routine work for urgent slot time, and charge what it uses."""
         if is_urgent(waiting.ask):
             if self._classes[False].count:
                 earned = ROUTINE_SHARE / (1 - ROUTINE_SHARE)
@@ -260,7 +262,7 @@
 
 
 class Backlog(typing.NamedTuple):
-    """Slot time that waits ahead of a newcomer, and the weights that share."""
+    """Slot time waiting ahead of a new request, and the sum of the teams' weights."""
 
     own_ms: float
     total_ms: float
--- a/alderreach/decisions/outliers.py
+++ b/alderreach/decisions/outliers.py
@@ -1,20 +1,20 @@
-"""Targets that are slower or fail more than their peers, and how load leaves them.
+"""Sends less load to runners that are slower or fail more often than their peers.
 
-A runner that fails at once is never busy, so a rule that prefers idle runners would
-send it most requests.
+A runner that fails every request immediately is never busy, so a rule that prefers idle
+runners would send it most requests.
 
-- Slow is relative: compared with the median of the peers, since a service that is slow
-  everywhere has no better place to send to. Above ``SLOW_RATIO`` the share a runner
-  gets sinks to ``SLOW_RATIO`` over its ratio, by at most ``DOWN_STEP`` each
-  ``ADJUST_MS``, and comes back by ``UP_STEP``. A quarter as fast up as down keeps a
-  runner that is slow only under load from swinging between all and nothing.
+- A runner's run time is compared with the median of its peers: if the whole service is
+  slow, there is no better runner to send to. Above ``SLOW_RATIO`` times the median, its
+  weight falls to ``SLOW_RATIO`` divided by its ratio, by at most ``DOWN_STEP`` each
+  ``ADJUST_MS``, and recovers by ``UP_STEP``. Recovering at a quarter of the speed keeps
+  a runner that is slow only under load from oscillating between full load and none.
 - A runner that fails more than ``ERROR_SHARE`` of its requests, while the median peer
   fails less than half of that, is ejected for a time that doubles up to
-  ``EJECT_MOST_MS``, then probed with ``PROBE_WEIGHT``. No more than
-  ``MAX_EJECTED_FRACTION`` are ejected at once: when more fail, the fault is the service's,
-  and sending everything to the few that are left would fell them too.
-- A runner to which no connection comes about is left alone for ``DOWN_MS``, whatever
-  the fraction: it can't answer anything, and half of the targets may go at once.
+  ``MAX_EJECT_MS``, then probed with ``PROBE_WEIGHT``. At most ``MAX_EJECTED_FRACTION``
+  of the runners are ejected at once: if more fail, the service is at fault, and sending
+  all requests to the few remaining runners would overload these too.
+- A runner that can't be connected to gets no requests for ``DOWN_MS``, regardless of
+  that fraction: it can't answer, and half of the targets may be lost at once.
 """
 
 import statistics
@@ -37,7 +37,7 @@
 
 
 class _Target:
-    """What is known of one runner."""
+    """The statistics and the weight of one runner."""
 
     def __init__(self):
         self.run_ms = None
@@ -51,7 +51,7 @@
 
 
 class Change(typing.NamedTuple):
-    """An ejection or return, for the time line."""
+    """An ejection or a probe after one, for the time line."""
 
     target_id: str
     what: str
@@ -65,14 +65,14 @@
         self._next_adjust_ms = 0
 
     def set_targets(self, target_ids):
-        """Know these runners and no others; a new one starts with full weight."""
+        """Replace the set of known runners; a new one starts with full weight."""
         self._targets = {
             target_id: self._targets.get(target_id) or _Target()
             for target_id in target_ids
         }
 
     def weight(self, target_id, now_ms):
-        """The share of its due that a runner may get; 0 while ejected or down."""
+        """Return the share of its normal load for a runner; 0 if ejected or down."""
         target = self._targets.get(target_id)
         if target is None:
             return 0.0
@@ -81,7 +81,7 @@
         return 0.0 if target.ejected_until_ms is not None else target.weight
 
     def observe(self, target_id, run_ms, is_error):
-        """An attempt at a runner has ended with an answer or without."""
+        """Record the end of an attempt at a runner that was reached."""
         target = self._targets.get(target_id)
         if target is None:
             return
@@ -96,7 +96,7 @@
         target.run_ms += SMOOTHING * (run_ms - target.run_ms)
 
     def on_unreachable(self, target_id, now_ms):
-        """No connection to a runner came about."""
+        """Handle a failed connection to a runner."""
         target = self._targets.get(target_id)
         if target is None:
             return
@@ -105,7 +105,7 @@
             target.down_until_ms = now_ms + DOWN_MS
 
     def tick(self, now_ms):
-        """Move weights on when it is time; returns what changed visibly."""
+        """Adjust the weights each ``ADJUST_MS``; returns the ``Change``s to report."""
         if now_ms < self._next_adjust_ms:
             return []
         self._next_adjust_ms = now_ms + ADJUST_MS
--- a/alderreach/decisions/placement.py
+++ b/alderreach/decisions/placement.py
@@ -1,32 +1,33 @@
-"""Which of the workers that have room gets a task.
-
-Load: services, whose copies must not die together, beside batch tasks, whose leftovers
-must not keep a large task waiting. One rule for both fails one of them: packed services
-lose all copies with one rack, and spread batch work leaves every worker a little too
-full for the next large task.
-
-Services go to the failure domain's rack with the fewest copies of the service, within
-it to the worker with the fewest. Up to ``RACKS`` racks are compared, all of them at
-today's size; in a larger cell a random ``RACKS`` of them hold a free one unless the
-service is as large as the cell. Batch and gang tasks follow their team's objective:
-*packing* fills the tightest of the sampled workers, *waiting* takes the roomiest, where
-a task that declared too little disturbs the fewest.
+"""Chooses one of the workers that have capacity for a task.
+
+Services, whose copies must not fail together, run beside batch tasks, which must not
+leave capacity so fragmented that a large task keeps waiting. No single rule serves
+both: packed services lose all copies with one rack, and spread batch tasks leave every
+worker slightly too full for the next large task.
+
+A service task goes to the rack of the failure domain with the fewest copies of the
+service, and there to the worker with the fewest. Up to ``MAX_RACKS_COMPARED`` racks are
+compared, which is all of them at today's size. In a larger cell a random sample of that
+size contains a rack without a copy, unless the service is as large as the cell. Batch
+and gang tasks follow their team's objective: *packing* takes the sampled worker that is
+left with the least free capacity, *waiting* the one left with the most, where a task
+that declared too little disturbs the fewest others.
 """
 
 from alderreach.decisions import resources
 
 MAX_RACKS_COMPARED = 8
 MAX_WORKERS_COMPARED = 8
-# Weight of leaving a worker lopsided (processors but no memory) against leaving it
-# empty.
+# Weight of an imbalance between free processors and free memory, against the weight of
+# free capacity itself.
 IMBALANCE_WEIGHT = 8.0
 
 
 def leftover(worker, demand):
-    """Score of a worker after taking ``demand``: 0 is exactly full, higher is worse.
+    """Score what a worker would have left after ``demand``; 0 is exactly full.
 
-    Accelerators that a task would leave idle weigh most: a worker whose processors are
-    gone can't hand them out.
+    A higher score is worse for packing. Accelerators left idle weigh most: a worker
+    without free processors can't use them.
     """
     cpu = (worker.free[0] - demand[0]) / (worker.capacity[0] or 1)
     memory = (worker.free[1] - demand[1]) / (worker.capacity[1] or 1)
@@ -35,17 +36,17 @@
 
 
 def best_fit(workers, demand):
-    """Return the worker that ``demand`` leaves the least room on."""
+    """Return the worker that ``demand`` leaves with the least free capacity."""
     return min(workers, key=lambda worker: leftover(worker, demand))
 
 
 def worst_fit(workers, demand):
-    """Return the worker that ``demand`` leaves the most room on."""
+    """Return the worker that ``demand`` leaves with the most free capacity."""
     return max(workers, key=lambda worker: leftover(worker, demand) - worker.free[2])
 
 
 def spread(cell, random, demand, racks_used, workers_used):
-    """Return a worker in a rack with few copies; None if none was found.
+    """Return a worker in a rack with few copies, None if no worker was found.
 
     ``racks_used`` and ``workers_used`` count the copies so far by rack and worker id.
     """
--- a/alderreach/decisions/poison_jobs.py
+++ b/alderreach/decisions/poison_jobs.py
@@ -1,36 +1,37 @@
-"""Jobs whose tasks take their workers down are found and stopped.
-
-Load: a job whose task makes the VM's kernel fail. Its tasks are lost with their worker
-and start again on the next one; a job of a hundred tasks can empty a cell in minutes.
-Taken by the count of lost workers alone, every job that is young when a rack loses
-power would be condemned with it.
-
-A worker lost within ``WINDOW_MS`` of the start of a task speaks against that task's
-job. ``JUDGE_AFTER_MS`` later, when losses with the same cause have been seen, it is
-judged: if other workers were lost as well, or the job has a task that lived through the
-window, nothing follows. Otherwise it is an *incident*, and the job is put on probation:
-one task at a time, on a worker where no other suspect runs. So the second loss tells
-the poison job from the jobs that were near it. After ``INCIDENTS`` losses of that kind
-the job is condemned, which ends the probation of those whose losses it explains.
+"""Finds and stops jobs whose tasks crash their workers.
+
+A task may make the kernel of its VM fail. Its tasks are lost with their worker and
+start again on the next one, so a job of a hundred tasks can empty a cell in minutes.
+Counting lost workers alone would condemn every recently started job when a rack loses
+power.
+
+A worker lost within ``WINDOW_MS`` of the start of a task counts against that task's
+job. The job is judged ``JUDGE_AFTER_MS`` later, when other losses with the same cause
+are known. If other workers were lost too, or a task of the job has outlived the window,
+there are no consequences. Otherwise the loss is an *incident*, and the job is put on
+probation: it runs one task at a time, on a worker where no other suspect runs. The
+second loss then tells the poison job from jobs that happened to run beside it. After
+``INCIDENT_LIMIT`` incidents the job is condemned: it is parked permanently, and the
+probation of the jobs whose losses it explains ends.
 """
 
 import collections
 
-# A kernel that a task brings down goes within a minute of its start.
+# A task that crashes the kernel does so within a minute of its start.
 WINDOW_MS = 60_000
-# Longer than a target's lease, after which its loss is known.
+# Longer than a target's lease: the loss of a target is known once its lease expires.
 JUDGE_AFTER_MS = 6_000
-# One loss is an ordinary VM's failure, two are chance in a cell that loses 58 VMs of
-# 10,000 a day; three young tasks of one job in a row are not.
+# One loss is an ordinary VM failure, and two may be chance in a cell that loses 58 of
+# 10,000 VMs a day; three losses in a row of recently started tasks of one job are not.
 INCIDENT_LIMIT = 3
-# Losses of other workers that make it a rack's or a switch's.
+# Losses of this many other workers indicate the failure of a rack or a switch.
 MIN_OTHER_LOSSES = 2
 REVIEW_INTERVAL_MS = 5_000
 LOSSES_KEPT = 64
 
 
 class PoisonJobs:
-    """Judges jobs by the workers that are lost under them."""
+    """Judges jobs by the workers that are lost while running their tasks."""
 
     def __init__(self, state, park_permanently):
         self._state = state
@@ -39,11 +40,11 @@
         self._lost = collections.deque(maxlen=LOSSES_KEPT)
 
     def on_worker_removed(self, worker_id):
-        """A worker was lost or taken away."""
+        """Record that a worker was lost or removed."""
         self._lost.append((self._state.now_ms, worker_id))
 
     def on_run_lost(self, run):
-        """A run was lost with its worker."""
+        """Record a run that was lost with its worker, and schedule a judgement."""
         job, now_ms = run.job, self._state.now_ms
         if now_ms - run.started_ms > WINDOW_MS:
             return
@@ -53,11 +54,11 @@
         job.lost_on.append(run.worker_id)
 
     def forget(self, job):
-        """A job is over."""
+        """Forget a job that has ended."""
         self._suspects.pop(job, None)
 
     def clear_suspicion(self, job):
-        """A task of a job has ended without harm."""
+        """End a job's probation, e.g. because a task of it ended without a crash."""
         job.incidents = 0
         self._suspects.pop(job, None)
         if job.limit:
@@ -65,7 +66,7 @@
             self._state.wait(job)
 
     def review(self, job):
-        """Judge a job's losses if due, and end its probation if a task lives on."""
+        """Judge a job's losses if due; end its probation if a task survived."""
         now_ms = self._state.now_ms
         if job.judge_ms is not None and job.judge_ms <= now_ms:
             self._judge(job)
@@ -98,13 +99,13 @@
             self._clear_explained(self._suspects.pop(job))
 
     def _clear_explained(self, explained):
-        """End the probation of those who were only near what is now explained."""
+        """End the probation of jobs whose lost workers are all in ``explained``."""
         for suspect, workers in list(self._suspects.items()):
             if workers <= explained:
                 self.clear_suspicion(suspect)
 
     def _has_survivor(self, job):
-        # Runs are kept in the order of their starts, so the first is the oldest.
+        # Runs are stored in the order of their starts, so the first is the oldest.
         oldest = next(iter(job.runs.values()), None)
         return oldest is not None and (
             self._state.now_ms - oldest.started_ms > WINDOW_MS
--- a/alderreach/decisions/pool.py
+++ b/alderreach/decisions/pool.py
@@ -1,25 +1,25 @@
-"""What each worker has, and what of it is given out.
+"""The capacity of each worker and what of it is allocated.
 
-Load: starts, ends, lost and returning workers in any order, several of them between
-two ticks. If capacity were derived from what targets report, which lags, two starts in
-a row would both see the same free processor.
+Tasks start and end and workers are lost and return in any order, several times between
+two ticks. Targets report with a lag, so if free capacity were derived from their
+reports, two consecutive starts would both see the same free processor.
 
-Capacity is only ever given out by ``take``, which refuses what does not fit, so no
-order of calls can give a worker more than it has. What already runs when a worker is
-taken up is recorded by ``charge``; a worker may then have less than nothing, and takes
-no work until that has ended.
+Capacity is allocated only by ``allocate``, which refuses what does not fit, so no order
+of calls can allocate more than a worker has. Tasks that already run when a worker is
+added are recorded by ``charge``; the worker's free capacity may then be negative, and
+it gets no work until enough of these tasks have ended.
 """
 
 from alderreach.decisions import resources, search
 
 
 class Worker:
-    """One worker: its capacity and who holds what of it.
+    """One worker: its capacity and the tasks that use it.
 
-    ``pinned`` is the part of what is given out that neither ends soon nor gives way,
-    ``excess`` what the tasks use beyond what they were given, ``held_for`` the
-    reservation that the free rest is kept for, ``uncertain`` the number of tasks whose
-    size is unknown.
+    ``pinned`` is the part of the allocated capacity whose tasks neither end soon nor
+    can be preempted, ``excess`` what tasks use beyond their allocation, ``held_for``
+    the reservation that holds the free capacity, ``uncertain`` the number of tasks
+    whose demand is unknown.
     """
 
     __slots__ = (
@@ -60,15 +60,15 @@
         self.rank = 0
 
     def is_usable(self):
-        """Whether new work may be placed here at all."""
+        """Whether new work may be placed here, with a reservation or without."""
         return self.is_open and not self.quarantined and not self.uncertain
 
     def accepts_work(self):
-        """Whether new work that holds no reservation may be placed here."""
+        """Whether new work without a reservation may be placed here."""
         return self.is_usable() and self.held_for is None
 
     def drained_capacity(self):
-        """Return what it will have free once all that isn't pinned has ended."""
+        """Return the free capacity once all tasks that aren't pinned have ended."""
         kept = resources.plus(self.pinned, self.excess)
         return resources.minus(self.capacity, kept)
 
@@ -85,7 +85,7 @@
         self.index = search.Index(random)
 
     def add(self, worker_id, vm, rack, capacity):
-        """Take up a worker, empty and open."""
+        """Add an empty, open worker."""
         worker = Worker(worker_id, vm, rack, capacity)
         self.workers[worker_id] = worker
         self._add_to_groups(worker)
@@ -94,7 +94,7 @@
         return worker
 
     def remove(self, worker):
-        """Forget a worker."""
+        """Remove a worker."""
         del self.workers[worker.worker_id]
         worker.is_open = False
         self.index.remove(worker)
@@ -103,30 +103,30 @@
         self.total = resources.minus(self.total, worker.capacity)
 
     def allocate(self, worker, demand):
-        """Give ``demand`` out on a worker; False, and nothing, if it doesn't fit."""
+        """Allocate ``demand`` on a worker; return False if it doesn't fit."""
         if not resources.fits(demand, worker.free):
             return False
         self.charge(worker, demand)
         return True
 
     def charge(self, worker, demand):
-        """Record what already runs on a worker."""
+        """Record the demand of a task that already runs, even if it doesn't fit."""
         worker.free = resources.minus(worker.free, demand)
         self.index.move(worker)
         self._notify_reservation(worker)
 
     def release(self, worker, demand):
-        """Return what ``take`` or ``charge`` gave out."""
+        """Free what ``allocate`` or ``charge`` recorded."""
         worker.free = resources.plus(worker.free, demand)
         self.reindex(worker)
 
     def undo(self, shape, worker):
-        """Return what a vain attempt took for a shape; no other shape has searched."""
+        """Free what a failed attempt allocated, before any other shape has searched."""
         worker.free = resources.plus(worker.free, shape.demand)
         self.index.undo(shape, worker)
 
     def reindex(self, worker):
-        """Index a worker that may have gained room or been opened or closed."""
+        """Update the index after a worker may have freed capacity, opened or closed."""
         self.index.grow(worker)
         self._notify_reservation(worker)
 
