--- a/alderreach/decisions/jobs.py
+++ b/alderreach/decisions/jobs.py
@@ -68,7 +68,7 @@
         "finished",
         "given_up",
         "incidents",
-        "judge_ms",
+        "review_due_ms",
         "limit",
         "line",
         "losses",
@@ -128,7 +128,7 @@
         self.avoided_worker_id = ""
         self.losses = {}
         self.lost_on = []
-        self.judge_ms = None
+        self.review_due_ms = None
         self.incidents = 0
         self.restarts = 0
 
--- a/alderreach/decisions/poison_jobs.py
+++ b/alderreach/decisions/poison_jobs.py
@@ -6,7 +6,7 @@
 power.
 
 A worker lost within ``WINDOW_MS`` of the start of a task counts against that task's
-job. The job is judged ``JUDGE_AFTER_MS`` later, when other losses with the same cause
+job. The job is judged ``REVIEW_AFTER_MS`` later, when other losses with the same cause
 are known. If other workers were lost too, or a task of the job has outlived the window,
 there are no consequences. Otherwise the loss is an *incident*, and the job is put on
 probation: it runs one task at a time, on a worker where no other suspect runs. The
@@ -20,7 +20,7 @@
 # A task that crashes the kernel does so within a minute of its start.
 WINDOW_MS = 60_000
 # Longer than a target's lease: the loss of a target is known once its lease expires.
-JUDGE_AFTER_MS = 6_000
+REVIEW_AFTER_MS = 6_000
 # One loss is an ordinary VM failure, and two may be chance in a cell that loses 58 of
 # 10,000 VMs a day; three losses in a row of recently started tasks of one job are not.
 INCIDENT_LIMIT = 3
@@ -48,9 +48,9 @@
         job, now_ms = run.job, self._state.now_ms
         if now_ms - run.started_ms > WINDOW_MS:
             return
-        if job.judge_ms is None:
-            job.judge_ms = now_ms + JUDGE_AFTER_MS
-            self._state.review_at(job.judge_ms, job)
+        if job.review_due_ms is None:
+            job.review_due_ms = now_ms + REVIEW_AFTER_MS
+            self._state.review_at(job.review_due_ms, job)
         job.lost_on.append(run.worker_id)
 
     def forget(self, job):
@@ -68,7 +68,7 @@
     def review(self, job):
         """Judge a job's losses if due; end its probation if a task survived."""
         now_ms = self._state.now_ms
-        if job.judge_ms is not None and job.judge_ms <= now_ms:
+        if job.review_due_ms is not None and job.review_due_ms <= now_ms:
             self._judge(job)
         if job.limit and not job.parked:
             if self._has_survivor(job):
@@ -77,8 +77,8 @@
                 self._state.review_at(now_ms + REVIEW_INTERVAL_MS, job)
 
     def _judge(self, job):
-        own_lost, job.lost_on, job.judge_ms = job.lost_on, [], None
-        oldest_ms = self._state.now_ms - 2 * JUDGE_AFTER_MS
+        own_lost, job.lost_on, job.review_due_ms = job.lost_on, [], None
+        oldest_ms = self._state.now_ms - 2 * REVIEW_AFTER_MS
         known_lost = self._suspects.get(job, set()).union(own_lost)
         others = {
             worker_id
