--- a/alderreach/decisions/endings.py
+++ b/alderreach/decisions/endings.py
@@ -25,17 +25,17 @@
 EARLY_LOSS_MS = 60_000
 
 
-def handle_end(state, judge, poison_jobs, run, outcome):
+def handle_end(state, quarantine, poison_jobs, run, outcome):
     """Release what a run held and, by its outcome, finish or retry its task."""
     job = run.job
     state.release(run)
     _update_counts(job, run, outcome)
     if outcome == "finished":
-        judge.finished(run)
+        quarantine.finished(run)
     elif outcome in ("failed", "refused"):
-        judge.failed(run, outcome)
+        quarantine.failed(run, outcome)
     else:
-        judge.ended_otherwise(run)
+        quarantine.ended_otherwise(run)
     if outcome == "lost":
         poison_jobs.on_run_lost(run)
     elif outcome in ("finished", "failed"):
--- a/alderreach/decisions/poison_jobs.py
+++ b/alderreach/decisions/poison_jobs.py
@@ -6,13 +6,13 @@
 power.
 
 A worker lost within ``WINDOW_MS`` of the start of a task counts against that task's
-job. The job is judged ``REVIEW_AFTER_MS`` later, when other losses with the same cause
-are known. If other workers were lost too, or a task of the job has outlived the window,
-there are no consequences. Otherwise the loss is an *incident*, and the job is put on
-probation: it runs one task at a time, on a worker where no other suspect runs. The
-second loss then tells the poison job from jobs that happened to run beside it. After
-``INCIDENT_LIMIT`` incidents the job is condemned: it is parked permanently, and the
-probation of the jobs whose losses it explains ends.
+job. The job's losses are reviewed ``REVIEW_AFTER_MS`` later, when other losses with the
+same cause are known. If other workers were lost too, or a task of the job has outlived
+the window, there are no consequences. Otherwise the loss is an *incident*, and the job
+is put on probation: it runs one task at a time, on a worker where no other suspect
+runs. The second loss then tells the poison job from jobs that happened to run beside
+it. After ``INCIDENT_LIMIT`` incidents the job is condemned: it is parked permanently,
+and the probation of the jobs whose losses it explains ends.
 """
 
 import collections
@@ -31,7 +31,7 @@
 
 
 class PoisonJobs:
-    """Judges jobs by the workers that are lost while running their tasks."""
+    """Finds the jobs that crash workers by the losses of their workers."""
 
     def __init__(self, state, park_permanently):
         self._state = state
@@ -44,7 +44,7 @@
         self._lost.append((self._state.now_ms, worker_id))
 
     def on_run_lost(self, run):
-        """Record a run that was lost with its worker, and schedule a judgement."""
+        """Record a run that was lost with its worker, and schedule a review."""
         job, now_ms = run.job, self._state.now_ms
         if now_ms - run.started_ms > WINDOW_MS:
             return
@@ -66,17 +66,17 @@
             self._state.wait(job)
 
     def review(self, job):
-        """Judge a job's losses if due; end its probation if a task survived."""
+        """Review a job's losses if due; end its probation if a task survived."""
         now_ms = self._state.now_ms
         if job.review_due_ms is not None and job.review_due_ms <= now_ms:
-            self._judge(job)
+            self._review_losses(job)
         if job.limit and not job.parked:
             if self._has_survivor(job):
                 self.clear_suspicion(job)
             else:
                 self._state.review_at(now_ms + REVIEW_INTERVAL_MS, job)
 
-    def _judge(self, job):
+    def _review_losses(self, job):
         own_lost, job.lost_on, job.review_due_ms = job.lost_on, [], None
         oldest_ms = self._state.now_ms - 2 * REVIEW_AFTER_MS
         known_lost = self._suspects.get(job, set()).union(own_lost)
