--- a/alderreach/decisions/draining.py
+++ b/alderreach/decisions/draining.py
@@ -7,8 +7,8 @@
 longest. Only teams with at most the mean share of the waiting teams qualify, and only
 work for which draining would free enough capacity. From a random window of workers that
 could hold the demand, those with the least work left to end are chosen. Up to
-``RESERVATIONS`` drain at once; all but the oldest together may hold at most
-``RESERVED_SHARE`` of the cell, which bounds the idle capacity.
+``MAX_RESERVATIONS`` drain at once; all but the oldest together may hold at most
+``MAX_RESERVED_SHARE`` of the cell, which bounds the idle capacity.
 """
 
 import itertools
@@ -21,8 +21,8 @@
 # A single large task needs only one worker, so a longer delay costs little.
 RESERVE_SINGLE_AFTER_MS = 15_000
 PLAN_INTERVAL_MS = 1_000
-RESERVATIONS = 4
-RESERVED_SHARE = 0.5
+MAX_RESERVATIONS = 4
+MAX_RESERVED_SHARE = 0.5
 # Workers examined of each size: enough to find nearly empty ones; for a large gang all.
 WINDOW = 256
 WINDOW_PER_TASK = 4
@@ -38,7 +38,7 @@
         return
     state.plan_at_ms = state.now_ms + PLAN_INTERVAL_MS
     existing = [each for each in state.reservations if not each.urgent]
-    if len(existing) >= RESERVATIONS:
+    if len(existing) >= MAX_RESERVATIONS:
         return
     due = [each for line in lines if (each := _find_due(state, line)) is not None]
     due.sort(key=lambda each: each[:2])
@@ -151,7 +151,7 @@
     taken = resources.NOTHING
     for worker in itertools.chain(workers, *(each.workers for each in existing[1:])):
         taken = resources.plus(taken, worker.capacity)
-    return resources.share(taken, state.cell.total) <= RESERVED_SHARE
+    return resources.share(taken, state.cell.total) <= MAX_RESERVED_SHARE
 
 
 def _drained_at_ms(state, workers):
