--- a/alderreach/decisions/draining.py
+++ b/alderreach/decisions/draining.py
@@ -148,10 +148,10 @@
 def _is_within_share(state, workers, existing):
     if not existing:
         return True
-    taken = resources.NOTHING
+    reserved_total = resources.NOTHING
     for worker in itertools.chain(workers, *(each.workers for each in existing[1:])):
-        taken = resources.plus(taken, worker.capacity)
-    return resources.share(taken, state.cell.total) <= MAX_RESERVED_SHARE
+        reserved_total = resources.plus(reserved_total, worker.capacity)
+    return resources.share(reserved_total, state.cell.total) <= MAX_RESERVED_SHARE
 
 
 def _drained_at_ms(state, workers):
