--- a/alderreach/decisions/jobs.py
+++ b/alderreach/decisions/jobs.py
@@ -1,12 +1,11 @@
-"""Waiting and running jobs, kept as counts wherever a count will do.
+"""Waiting and running jobs, kept as counts wherever a count is enough.
 
-Load: batch runs of tens of thousands of identical tasks, and waves of as many
-cancellations. With an object per waiting task, both cost as much as the placements
-they replace.
+Batch runs have tens of thousands of identical tasks, and cancellations come in waves of
+that size. With an object per waiting task, both would cost as much as the placements.
 
-A job knows its waiting tasks by their number and the few that came back; only a
-running task has an object of its own. A task gets its number when it starts: first
-those that came back (preempted, lost), then new ones, last those that failed.
+A job stores the number of its waiting tasks and the few that were requeued; only a
+running task has an object of its own. A task gets its number when it starts: first the
+requeued ones (preempted, lost), then new ones, and last those that failed.
 """
 
 URGENT_PRIORITY = 7
@@ -39,40 +38,40 @@
         return f"{self.job.spec.job_id}/{self.number}"
 
     def gentlest_stop(self):
-        """Return checkpoint if the task can, else stop."""
+        """Return checkpoint if the task supports it, else stop."""
         return "checkpoint" if self.job.spec.checkpoint else "stop"
 
 
 class JobState:
-    """What is known of one job.
+    """The state of one job.
 
-    ``limit`` bounds its running tasks while it is suspected of harm (0 is no bound),
-    ``parked`` is why it may not run at all. ``declared`` is what its team declared for
-    a task, ``spec.task`` what a task is given.
+    ``limit`` bounds the running tasks of a job that is suspected of crashing workers; 0
+    is no bound. ``parked`` is the reason why the job can't run at all. ``declared`` is
+    the demand of a task as its team declared it, ``spec.task`` what a task is given.
+    ``final_numbers`` are the tasks that ended for good before ``next_number`` reached
+    them, ``postponed`` those that failed and run last.
     """
 
     __slots__ = (
         "attempts",
-        "avoid",
+        "avoided_worker_id",
         "blocked_since_ms",
         "cancelled",
+        "consecutive_failures",
         "declared",
-        "ends",
+        "ended_runs",
         "failed",
-        "failed_ends",
-        "failed_in_a_row",
         "failed_on",
+        "failed_runs",
         "failures",
+        "final_numbers",
         "finished",
         "given_up",
         "incidents",
-        "judge_ms",
         "limit",
         "line",
         "losses",
         "lost_on",
-        "name_ms",
-        "named",
         "next_number",
         "not_before_ms",
         "overran",
@@ -80,11 +79,13 @@
         "postponed",
         "preempted",
         "racks_used",
+        "report_ms",
+        "reported",
+        "requeued",
         "restarts",
         "retry_ms",
-        "returned",
+        "review_due_ms",
         "runs",
-        "settled",
         "spec",
         "waiting",
         "workers_used",
@@ -95,9 +96,9 @@
         self.declared = declared
         self.waiting = spec.tasks
         self.next_number = 0
-        self.returned = []
+        self.requeued = []
         self.postponed = []
-        self.settled = set()
+        self.final_numbers = set()
         self.runs = {}
         self.attempts = {}
         self.failures = {}
@@ -115,19 +116,19 @@
         self.retry_ms = 0
         self.blocked_since_ms = None
         self.parked = ""
-        self.name_ms = 0
-        self.named = False
+        self.report_ms = 0
+        self.reported = False
         self.given_up = False
         self.overran = False
         self.limit = 0
-        self.ends = 0
-        self.failed_ends = 0
-        self.failed_in_a_row = 0
+        self.ended_runs = 0
+        self.failed_runs = 0
+        self.consecutive_failures = 0
         self.failed_on = set()
-        self.avoid = ""
+        self.avoided_worker_id = ""
         self.losses = {}
         self.lost_on = []
-        self.judge_ms = None
+        self.review_due_ms = None
         self.incidents = 0
         self.restarts = 0
 
@@ -136,65 +137,66 @@
         return self.spec.kind == "gang"
 
     def is_service(self):
-        """Whether its tasks are kept running."""
+        """Whether its tasks are restarted whenever they end."""
         return self.spec.kind == "service"
 
     def is_urgent(self):
-        """Whether it goes before all normal work and may displace it."""
+        """Whether it runs before all normal work and may preempt it."""
         return self.spec.priority >= URGENT_PRIORITY
 
-    def pins(self):
-        """Whether its tasks can't be counted on to end soon or to give way."""
+    def is_pinned(self):
+        """Whether its tasks can't be expected to end soon or to be preempted."""
         return self.is_service() or self.is_urgent()
 
     def next_task(self):
         """Return the number of a waiting task and count it as no longer waiting.
 
-        Failed tasks come last, when other work has shown whether it was the worker.
+        Failed tasks come last: by then other tasks have shown whether the worker or the
+        task was at fault.
         """
         self.waiting -= 1
-        if self.returned:
-            return self.returned.pop()
-        while self.next_number in self.settled or self.next_number in self.runs:
-            self.settled.discard(self.next_number)
+        if self.requeued:
+            return self.requeued.pop()
+        while self.next_number in self.final_numbers or self.next_number in self.runs:
+            self.final_numbers.discard(self.next_number)
             self.next_number += 1
         if self.next_number >= self.spec.tasks and self.postponed:
             return self.postponed.pop()
         self.next_number += 1
         return self.next_number - 1
 
-    def return_task(self, number, failed=False):
-        """Let a task wait again."""
+    def requeue(self, number, failed=False):
+        """Count a task as waiting again; one that ``failed`` runs after all others."""
         self.waiting += 1
         if number < self.next_number:
-            (self.postponed if failed else self.returned).append(number)
+            (self.postponed if failed else self.requeued).append(number)
 
     def claim(self, number):
-        """Count one certain task as no longer waiting."""
+        """Count the task of this number as no longer waiting."""
         self.waiting -= 1
-        for numbers in (self.returned, self.postponed):
+        for numbers in (self.requeued, self.postponed):
             if number in numbers:
                 numbers.remove(number)
 
     def resize(self, tasks):
-        """Take over a service's new number of tasks."""
+        """Apply a service's new number of tasks."""
         self.spec = self.spec._replace(tasks=tasks)
         self.next_number = 0
-        self.returned.clear()
+        self.requeued.clear()
         self.postponed.clear()
         self.waiting = sum(1 for number in range(tasks) if number not in self.runs)
 
-    def settle(self, number):
-        """Count a task that waits no more as ended for good."""
+    def mark_final(self, number):
+        """Record that a task which no longer waits has ended for good."""
         if number >= self.next_number:
-            self.settled.add(number)
+            self.final_numbers.add(number)
         self.attempts.pop(number, None)
         self.failures.pop(number, None)
         self.preempted.pop(number, None)
         self.losses.pop(number, None)
 
     def is_done(self):
-        """Whether nothing runs and nothing will."""
+        """Whether no task runs and none will start."""
         if self.runs:
             return False
         return self.cancelled or (not self.waiting and not self.is_service())
--- a/alderreach/decisions/maintenance.py
+++ b/alderreach/decisions/maintenance.py
@@ -1,13 +1,13 @@
-"""When a maintenance window closes and clears its VMs, and whether it can be met.
+"""The phases of a maintenance window, and whether a declared window can be met.
 
-The VMs of a window are stopped at a fixed date. Without a lead, new work would land on
-them until the last moment and be cut. So a window goes through phases: ``declared``;
-``closed`` (no new work, what runs may finish); ``clearing`` (runners leave, tasks are
-checkpointed or stopped and start elsewhere); ``over``.
+The VMs of a window are stopped at a fixed time. Without a lead time, new work would be
+placed on them until they stop, and be cut off. So a window passes through phases:
+``declared``; ``closed`` (no new work, running work may finish); ``clearing`` (runners
+leave, tasks are checkpointed or stopped and start elsewhere); ``over``.
 
-``CLOSE_LEAD_MS`` lets batch tasks of some minutes finish by themselves;
-``CLEAR_LEAD_MS`` covers a checkpoint, a start elsewhere and a runner's last answers;
-a task that can't be checkpointed may go on until ``STOP_LEAD_MS`` before the start.
+``CLOSE_LEAD_MS`` lets batch tasks of some minutes finish. ``CLEAR_LEAD_MS`` covers a
+checkpoint, a start elsewhere and a runner's last answers. A task that can't checkpoint
+may go on until ``STOP_LEAD_MS`` before the start.
 """
 
 from alderreach.core.generated import common
@@ -15,7 +15,7 @@
 CLOSE_LEAD_MS = 600_000
 CLEAR_LEAD_MS = 120_000
 STOP_LEAD_MS = 30_000
-KINDS = common.Resources._fields
+RESOURCE_KINDS = common.Resources._fields
 
 
 def phase(window, now_wall_ms):
@@ -35,13 +35,13 @@
 
 
 def phase_of(windows, vm, rack, now_wall_ms):
-    """Return the sternest phase of all windows that cover a VM; empty if none does."""
+    """Return the strictest phase of all windows that cover a VM; empty if none does."""
     order = ("", "declared", "closed", "clearing")
     phases = [""]
     for window in windows:
         if covers(window, vm, rack):
-            now_in = phase(window, now_wall_ms)
-            phases.append("" if now_in == "over" else now_in)
+            current = phase(window, now_wall_ms)
+            phases.append("" if current == "over" else current)
     return max(phases, key=order.index)
 
 
@@ -56,30 +56,30 @@
 
 
 def check_window(window, targets, teams=(), now_wall_ms=None):
-    """Say at declaration why a window can't be met; an empty list if it can.
+    """Return why a window can't be met, an empty list if it can.
 
-    ``targets`` are the TargetRows of the window's failure domain. What is reserved on
-    the VMs to be stopped must fit on the open workers outside, kind by kind, and its
-    largest share must fit on one of them as far as rows can tell. ``teams`` add no
-    reason today: a quota does not change when work moves.
+    The check runs when the window is declared. ``targets`` are the TargetRows of the
+    window's failure domain. What is reserved on the VMs to be stopped must fit into the
+    free capacity of the ready workers outside, kind by kind. ``teams`` is not used: a
+    quota does not change when work moves.
 
     >>> check_window(window, rows)  # doctest: +SKIP
     ['8000 cpu_millis must move, but only 4000 are free elsewhere']
     """
-    reasons = _check_shape(window, now_wall_ms)
+    reasons = _check_fields(window, now_wall_ms)
     inside = [row for row in targets if covers(window, row.vm, row.rack)]
     reasons += _check_names(window, targets)
     workers = [row for row in targets if row.kind == "worker"]
     stopped = [row for row in workers if row in inside and row.state != "dead"]
     others = [row for row in workers if row not in inside and row.state == "ready"]
-    reasons += _check_room(stopped, others)
+    reasons += _check_capacity(stopped, others)
     runners = [row for row in targets if row.kind == "runner" and row.state == "ready"]
     if runners and all(row in inside for row in runners):
         reasons.append("no ready runner is left in the failure domain")
     return reasons
 
 
-def _check_shape(window, now_wall_ms):
+def _check_fields(window, now_wall_ms):
     reasons = []
     if window.end_wall_ms <= window.start_wall_ms:
         reasons.append("the window ends before it starts")
@@ -100,16 +100,16 @@
     return [f"no target is known on {name}" for name in unknown]
 
 
-def _check_room(stopped, others):
+def _check_capacity(stopped, others):
     reasons = []
-    for kind in KINDS:
+    for kind in RESOURCE_KINDS:
         needed = sum(getattr(row.reserved, kind) for row in stopped)
-        room = sum(
+        available = sum(
             max(getattr(row.capacity, kind) - getattr(row.reserved, kind), 0)
             for row in others
         )
-        if needed > room:
+        if needed > available:
             reasons.append(
-                f"{needed} {kind} must move, but only {room} are free elsewhere"
+                f"{needed} {kind} must move, but only {available} are free elsewhere"
             )
     return reasons
