--- a/alderreach/decisions/backlog.py
+++ b/alderreach/decisions/backlog.py
@@ -109,7 +109,7 @@
             self._close(line)
 
     def _open(self, key):
-        line = self._lines[key] = Line(key, self._cell.index.use_shape(key[3]))
+        line = self._lines[key] = Line(key, self._cell.index.acquire_shape(key[3]))
         lines = self.bands[line.band()].setdefault(line.team, [])
         lines.append(line)
         lines.sort(key=lambda each: -each.priority)
@@ -118,7 +118,7 @@
     def _close(self, line):
         del self._lines[line.key]
         self._on_close(line)
-        self._cell.index.leave_shape(line.shape)
+        self._cell.index.release_shape(line.shape)
         lines = self.bands[line.band()]
         lines[line.team].remove(line)
         if not lines[line.team]:
--- a/alderreach/decisions/draining.py
+++ b/alderreach/decisions/draining.py
@@ -71,9 +71,9 @@
     served = {reservation.line for reservation in state.reservations}
     latest_ms = state.now_ms - RESERVE_ONE_AFTER_MS
     for line in lines:
-        is_saved_for = state.ledger.account(line.team).saver is line
+        is_saved_for = state.ledger.account(line.team).saved_for is line
         if is_saved_for and line not in served and line.blocked_since_ms <= latest_ms:
-            state.ledger.saved_in_vain(line)
+            state.ledger.abandon_saving(line)
 
 
 def _due(state, line):
@@ -109,7 +109,7 @@
     reservation = reservations.reserve(state, line, job, workers)
     reservation.needed_at_ms = _drained_at_ms(state, workers)
     if job is None:
-        reservation.promised = dict.fromkeys(workers, 1)
+        reservation.planned = dict.fromkeys(workers, 1)
     return RESERVED
 
 
--- a/alderreach/decisions/endings.py
+++ b/alderreach/decisions/endings.py
@@ -30,11 +30,11 @@
     state.release(run)
     _count_end(job, run, outcome)
     if outcome == "finished":
-        judge.finished(run)
+        judge.on_finished(run)
     elif outcome in ("failed", "refused"):
-        judge.failed(run, outcome)
+        judge.on_failed(run, outcome)
     else:
-        judge.ended_otherwise(run)
+        judge.on_ended_otherwise(run)
     if outcome == "lost":
         poison_jobs.lost(run)
     elif outcome in ("finished", "failed"):
@@ -79,7 +79,7 @@
     """Let a job wait again whose pause is over; stop a gang that is left in part."""
     if job.is_gang() and job.runs and job.waiting and not job.cancelled:
         _regroup(state, job)
-    state.wait(job)
+    state.enqueue(job)
 
 
 def _count_end(job, run, outcome):
@@ -108,7 +108,7 @@
         # Once for all that a rack takes with it.
         _pause(state, run)
     job.return_task(run.number)
-    state.wait(job, first=True)
+    state.enqueue(job, first=True)
 
 
 def _pause(state, run):
@@ -119,7 +119,7 @@
     job.restarts += 1
     job.not_before_ms = state.now_ms + pause_ms
     state.backlog.remove(job)
-    state.review_at(job.not_before_ms, job)
+    state.schedule_review(job.not_before_ms, job)
 
 
 def _end_task(state, run, outcome):
@@ -128,7 +128,7 @@
         job.finished += 1
         job.settle(number)
         # The rest of a gang may have been waiting for this one to end.
-        state.wait(job, first=True)
+        state.enqueue(job, first=True)
         return
     if job.given_up or _is_given_up(state, run, outcome):
         if outcome == "lost":
@@ -146,7 +146,7 @@
     elif job.is_gang() and job.runs:
         _regroup(state, job)
     else:
-        state.wait(job, first=True)
+        state.enqueue(job, first=True)
 
 
 def _give_up_lost(job, number):
--- a/alderreach/decisions/gangs.py
+++ b/alderreach/decisions/gangs.py
@@ -22,7 +22,7 @@
     wanted = job.waiting
     whole = resources.times(line.demand, wanted)
     if not state.ledger.allows(account, whole, line):
-        state.ledger.note_used_up(account, line, whole, state.now_ms)
+        state.ledger.on_quota_used_up(account, line, whole, state.now_ms)
         job.retry_ms = state.now_ms + RETRY_MS
         return 1
     workers = gather(state, line.shape, wanted, is_suspect=job.limit > 0)
--- a/alderreach/decisions/impossible.py
+++ b/alderreach/decisions/impossible.py
@@ -38,7 +38,7 @@
         if reason:
             self.park(job, reason)
         else:
-            self._state.wait(job)
+            self._state.enqueue(job)
 
     def park(self, job, reason):
         """Take a job out of the way until what it lacks comes."""
@@ -85,8 +85,8 @@
             job.named = False
             # A review that found the job parked was the last; without another, what it
             # was to end, as a probation, would never end.
-            self._state.review_at(self._state.now_ms, job)
-            self._state.wait(job)
+            self._state.schedule_review(self._state.now_ms, job)
+            self._state.enqueue(job)
 
     def _check_line(self, line):
         now_ms = self._state.now_ms
@@ -122,13 +122,15 @@
         return f"team {spec.team} is unknown"
     together = resources.times(spec.task, job.waiting if job.is_gang() else 1)
     if not resources.fits(together, account.quota):
-        quota = resources.show(account.quota)
-        return f"needs {resources.show(together)}; the quota of {spec.team} is {quota}"
+        quota = resources.describe(account.quota)
+        return (
+            f"needs {resources.describe(together)}; the quota of {spec.team} is {quota}"
+        )
     sizes = state.cell.by_capacity
     if not sizes:
         return ""
     if not any(resources.fits(spec.task, capacity) for capacity in sizes):
-        return f"no worker has {resources.show(spec.task)}"
+        return f"no worker has {resources.describe(spec.task)}"
     if job.is_gang() and not _has_room_for_gang(sizes, spec.task, job.waiting):
         return f"all workers together have no room for {job.waiting} such tasks at once"
     return ""
--- a/alderreach/decisions/poison_jobs.py
+++ b/alderreach/decisions/poison_jobs.py
@@ -49,7 +49,7 @@
             return
         if job.judge_ms is None:
             job.judge_ms = now_ms + JUDGE_AFTER_MS
-            self._state.review_at(job.judge_ms, job)
+            self._state.schedule_review(job.judge_ms, job)
         job.lost_on.append(run.worker_id)
 
     def forget(self, job):
@@ -62,7 +62,7 @@
         self._suspects.pop(job, None)
         if job.limit:
             job.limit = 0
-            self._state.wait(job)
+            self._state.enqueue(job)
 
     def review(self, job):
         """Judge a job's losses if due, and end its probation if a task lives on."""
@@ -73,7 +73,7 @@
             if self._has_survivor(job):
                 self.survived(job)
             else:
-                self._state.review_at(now_ms + REVIEW_MS, job)
+                self._state.schedule_review(now_ms + REVIEW_MS, job)
 
     def _judge(self, job):
         mine, job.lost_on, job.judge_ms = job.lost_on, [], None
--- a/alderreach/decisions/pool.py
+++ b/alderreach/decisions/pool.py
@@ -127,7 +127,7 @@
 
     def reconsider(self, worker):
         """Index a worker that may have gained room or been opened or closed."""
-        self.index.grow(worker)
+        self.index.mark_freed(worker)
         self._tell_reservation(worker)
 
     def _tell_reservation(self, worker):
--- a/alderreach/decisions/preemption.py
+++ b/alderreach/decisions/preemption.py
@@ -59,7 +59,7 @@
     workers = [worker for _, _, worker, _, _ in chosen]
     reservation = reservations.reserve(state, line, job, workers, urgent=True)
     for _, _, worker, copies, victims in chosen:
-        reservation.promised[worker] = copies
+        reservation.planned[worker] = copies
         for run in victims:
             displace(state, run)
 
--- a/alderreach/decisions/quarantine.py
+++ b/alderreach/decisions/quarantine.py
@@ -59,7 +59,7 @@
         self._quarantined = set()
         self._probes = []
 
-    def finished(self, run):
+    def on_finished(self, run):
         """A task ended well: its worker is well."""
         record = self._records.get(run.worker_id)
         if record is None:
@@ -69,7 +69,7 @@
         elif record.probe is run:
             self._release(run.worker_id)
 
-    def failed(self, run, outcome):
+    def on_failed(self, run, outcome):
         """A task failed or was refused: weigh it against its worker."""
         record = self._records.setdefault(run.worker_id, Record())
         now_ms = self._state.now_ms
@@ -87,7 +87,7 @@
         if suspicion(record) >= SUSPICION_LIMIT and self._may_quarantine():
             self._quarantine(run.worker_id, record)
 
-    def ended_otherwise(self, run):
+    def on_ended_otherwise(self, run):
         """A task ended in a way that says nothing; a probe is tried again."""
         record = self._records.get(run.worker_id)
         if record is not None and record.probe is run:
--- a/alderreach/decisions/quotas.py
+++ b/alderreach/decisions/quotas.py
@@ -34,7 +34,7 @@
         "objective",
         "quota",
         "saved",
-        "saver",
+        "saved_for",
         "share",
         "used",
         "weight",
@@ -46,7 +46,7 @@
         self.weight = 1
         self.objective = "packing"
         self.used = resources.NOTHING
-        self.saver = None
+        self.saved_for = None
         self.saved = resources.NOTHING
         self.share = 0.0
 
@@ -72,7 +72,7 @@
         account.weight = max(1, team.weight)
         account.objective = team.objective
         if not resources.fits(account.saved, account.quota):
-            account.saver = None
+            account.saved_for = None
 
     def remove_team(self, name):
         """Let nothing more of a team start; what runs stays on its account."""
@@ -86,19 +86,23 @@
         Without a line, or for an urgent one, only the quota itself counts.
         """
         wanted = resources.plus(account.used, demand)
-        others = account.saver is not None and account.saver is not line
+        others = account.saved_for is not None and account.saved_for is not line
         if others and line is not None and not line.is_urgent:
             wanted = resources.plus(wanted, account.saved)
         return account.known and resources.fits(wanted, account.quota)
 
-    def note_used_up(self, account, line, demand, now_ms):
+    def on_quota_used_up(self, account, line, demand, now_ms):
         """Note that a line waits for quota; after a while it is saved for."""
         if line.quota_since_ms is None:
             line.quota_since_ms = now_ms
         after_ms = SAVE_AFTER_MS << min(line.vain_savings, DOUBLINGS)
         is_due = line.quota_since_ms + after_ms <= now_ms
-        if account.saver is None and is_due and resources.fits(demand, account.quota):
-            account.saver = line
+        if (
+            account.saved_for is None
+            and is_due
+            and resources.fits(demand, account.quota)
+        ):
+            account.saved_for = line
             account.saved = demand
 
     def stop_saving(self, line):
@@ -106,7 +110,7 @@
         line.vain_savings = 0
         self._forget_saving(line)
 
-    def saved_in_vain(self, line):
+    def abandon_saving(self, line):
         """The line has the quota that was saved for it, and can't use it."""
         line.vain_savings += 1
         self._forget_saving(line)
@@ -114,8 +118,8 @@
     def _forget_saving(self, line):
         line.quota_since_ms = None
         account = self.account(line.team)
-        if account.saver is line:
-            account.saver = None
+        if account.saved_for is line:
+            account.saved_for = None
 
     def charge(self, account, demand, total):
         """Add to what a team holds; ``total`` is the cell's capacity."""
--- a/alderreach/decisions/reservations.py
+++ b/alderreach/decisions/reservations.py
@@ -37,7 +37,7 @@
         "job",
         "line",
         "needed_at_ms",
-        "promised",
+        "planned",
         "ready",
         "retry_ms",
         "since_ms",
@@ -51,7 +51,7 @@
         self.since_ms = now_ms
         self.urgent = urgent
         self.workers = {}
-        self.promised = {}
+        self.planned = {}
         self.ready = 0
         self.enough = 0
         self.changed = {}
@@ -90,7 +90,7 @@
 
 def _drop(state, reservation, worker):
     ready, enough = reservation.workers.pop(worker)
-    reservation.promised.pop(worker, None)
+    reservation.planned.pop(worker, None)
     reservation.ready -= ready
     reservation.enough -= enough
     reservation.changed.pop(worker, None)
@@ -217,7 +217,7 @@
 def _serve_line(state, reservation):
     line = reservation.line
     account = state.ledger.account(line.team)
-    for worker in list(reservation.promised):
+    for worker in list(reservation.planned):
         _serve_worker(state, reservation, worker, account)
     overdue = state.now_ms - reservation.since_ms > URGENT_HOLD_MS
     if not line.jobs or not reservation.workers or (reservation.urgent and overdue):
@@ -227,7 +227,7 @@
 
 
 def _serve_worker(state, reservation, worker, account):
-    line, promised = reservation.line, reservation.promised
+    line, promised = reservation.line, reservation.planned
     while promised[worker] and line.jobs and resources.fits(line.demand, worker.free):
         if not state.ledger.allows(account, line.demand, line):
             break
--- a/alderreach/decisions/resources.py
+++ b/alderreach/decisions/resources.py
@@ -49,7 +49,7 @@
     return max(shares, default=0.0)
 
 
-def show(amount):
+def describe(amount):
     """One line for people, without the kinds that are zero."""
     parts = [
         f"{number} {name}"
--- a/alderreach/decisions/retries.py
+++ b/alderreach/decisions/retries.py
@@ -6,13 +6,13 @@
 of one after a refusal. A tenth more load is what runners at nine tenths of capacity can
 bear; a refusal costs a runner next to nothing, so half of the requests may meet one.
 The buckets hold ``BURST``, which lets a service with few requests retry at all. Nothing
-is tried more than ``MOST_ATTEMPTS`` times, and no failure is retried while others wait.
+is tried more than ``MAX_ATTEMPTS`` times, and no failure is retried while others wait.
 """
 
 FAILED_SHARE = 0.1
 REFUSED_SHARE = 0.5
 BURST = 10.0
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 
 
 class Budget:
@@ -27,9 +27,9 @@
         self._failed = min(BURST, self._failed + FAILED_SHARE)
         self._refused = min(BURST, self._refused + REFUSED_SHARE)
 
-    def allows(self, attempt, was_refused, others_wait):
+    def try_spend(self, attempt, was_refused, others_wait):
         """Whether attempt number ``attempt`` may be made; takes it off the budget."""
-        if attempt > MOST_ATTEMPTS:
+        if attempt > MAX_ATTEMPTS:
             return False
         if was_refused:
             has_token = self._refused >= 1
--- a/alderreach/decisions/rounds.py
+++ b/alderreach/decisions/rounds.py
@@ -64,7 +64,7 @@
             _note_blocked(state, line)
         elif not state.ledger.allows(account, line.demand, line):
             line.blocked_since_ms = None
-            state.ledger.note_used_up(account, line, line.demand, state.now_ms)
+            state.ledger.on_quota_used_up(account, line, line.demand, state.now_ms)
         elif not line.is_gang:
             return line, line.head()
         else:
@@ -121,7 +121,7 @@
             return 1
     job.not_before_ms = state.now_ms + SUSPECT_RETRY_MS
     state.backlog.remove(job)
-    state.review_at(job.not_before_ms, job)
+    state.schedule_review(job.not_before_ms, job)
     return 1
 
 
--- a/alderreach/decisions/scheduler.py
+++ b/alderreach/decisions/scheduler.py
@@ -267,7 +267,7 @@
         for number, run in job.runs.items():
             if number >= tasks:
                 self._state.stop(run)
-        self._state.wait(job)
+        self._state.enqueue(job)
 
     def _emit_stops(self, limit):
         stops, decisions = self._state.stops, self._state.decisions
--- a/alderreach/decisions/search.py
+++ b/alderreach/decisions/search.py
@@ -56,11 +56,11 @@
         """Take up a worker."""
         worker.order = len(self._order)
         self._order.append(worker)
-        self.grow(worker)
+        self.mark_freed(worker)
 
     def remove(self, worker):
         """Forget a worker, which takes no work any more."""
-        self.grow(worker)
+        self.mark_freed(worker)
         last = self._order.pop()
         if last is worker:
             return
@@ -83,7 +83,7 @@
         worker.position = len(bucket.workers)
         bucket.workers.append(worker)
 
-    def grow(self, worker):
+    def mark_freed(self, worker):
         """Move a worker that may have gained room, and remember that it has."""
         self.move(worker)
         if worker.bucket is None:
@@ -98,8 +98,8 @@
             shape.fresh[worker] = None
             shape.blocked = False
 
-    def use_shape(self, demand):
-        """Return the search state of a demand, kept until ``leave_shape``."""
+    def acquire_shape(self, demand):
+        """Return the search state of a demand, kept until ``release_shape``."""
         shape = self._shapes.get(demand)
         if shape is None:
             shape = self._idle_shapes.pop(demand, None) or shapes.Shape(demand)
@@ -108,7 +108,7 @@
         shape.users += 1
         return shape
 
-    def leave_shape(self, shape):
+    def release_shape(self, shape):
         """Set the search state aside with its last user.
 
         A stream of single tasks opens and closes its line with each of them; sorting
--- a/alderreach/decisions/serving.py
+++ b/alderreach/decisions/serving.py
@@ -55,7 +55,7 @@
     retry_after_ms: int
 
 
-class Ended(typing.NamedTuple):
+class AttemptEnded(typing.NamedTuple):
     """How an attempt ended, told by whoever carried out its grant."""
 
     request_id: str
@@ -65,7 +65,7 @@
     run_ms: int
 
 
-class Place(typing.NamedTuple):
+class EntryLocation(typing.NamedTuple):
     """Where the entry stands: its domain, and how many entries share the runners."""
 
     failure_domain: str
@@ -115,7 +115,7 @@
         """Requests under way."""
         return len(self._running)
 
-    def arrive(self, ask, now_ms, avoided=(), room=None):
+    def submit(self, ask, now_ms, avoided=(), room=None):
         """Take a request in, or turn it away; others may be affected.
 
         ``room`` is how many more may wait in the entry, whatever their service.
@@ -142,11 +142,11 @@
         decisions = self.dispatch(now_ms)
         return decisions + self._shed(waiting, bound)
 
-    def turn_away(self, ask):
+    def refuse(self, ask):
         """Refuse a request for which the entry has no room at all."""
         return self._overloaded(ask)
 
-    def ended(self, ended, now_ms):
+    def on_attempt_ended(self, ended, now_ms):
         """An attempt has ended; others may go."""
         running = self._running.pop(ended.request_id, None)
         was_answered = ended.result == ANSWERED
@@ -213,7 +213,7 @@
 
     def _may_retry(self, ask):
         was_refused = ask.previous in (REFUSED, UNREACHABLE)
-        return self._budget.allows(ask.attempt, was_refused, bool(len(self._line)))
+        return self._budget.try_spend(ask.attempt, was_refused, bool(len(self._line)))
 
     def _overloaded(self, ask):
         backlog = self._line.backlog(ask.team, urgent=False)
--- a/alderreach/decisions/state.py
+++ b/alderreach/decisions/state.py
@@ -44,7 +44,7 @@
         self._orphans = {}
         self._uncertain = collections.Counter()
 
-    def wait(self, job, first=False):
+    def enqueue(self, job, first=False):
         """Let a job's waiting tasks be placed, unless something holds the job back."""
         if job.cancelled or job.parked or job.not_before_ms > self.now_ms:
             return
@@ -54,7 +54,7 @@
             return
         self.backlog.add(job, first)
 
-    def review_at(self, due_ms, job):
+    def schedule_review(self, due_ms, job):
         """Have a job looked at again at ``due_ms``."""
         heapq.heappush(self._reviews, (due_ms, next(self._sequence), job))
 
@@ -111,7 +111,7 @@
         if job.cancelled or number >= job.spec.tasks:
             self.stop(run)
         if job.is_gang() and job.waiting:
-            self.review_at(self.now_ms + REGROUP_AFTER_MS, job)
+            self.schedule_review(self.now_ms + REGROUP_AFTER_MS, job)
         if not job.waiting:
             self.backlog.remove(job)
 
--- a/alderreach/ops/entry/dispatcher.py
+++ b/alderreach/ops/entry/dispatcher.py
@@ -30,7 +30,7 @@
     """An attempt has ended."""
 
     service: str
-    ended: serving.Ended
+    ended: serving.AttemptEnded
 
 
 class Withdraw(typing.NamedTuple):
@@ -115,16 +115,18 @@
         self._tickets[mail.ask.request_id] = mail.ticket
         service = self._service(mail.service)
         if len(self._tickets) + len(self._granted) > self._threads:
-            self._carry_out([service.turn_away(mail.ask)])
+            self._carry_out([service.refuse(mail.ask)])
             return
         self._carry_out(
-            service.arrive(mail.ask, now_ms, mail.avoided, self._room_to_wait())
+            service.submit(mail.ask, now_ms, mail.avoided, self._room_to_wait())
         )
 
     def _report(self, mail):
         service = self._service(mail.service)
         self._granted.pop(mail.ended.request_id, None)
-        self._carry_out(service.ended(mail.ended, self._clock.monotonic_ms()))
+        self._carry_out(
+            service.on_attempt_ended(mail.ended, self._clock.monotonic_ms())
+        )
 
     def _withdraw(self, mail):
         """Forget a request, or free the runner it was granted unnoticed."""
@@ -132,7 +134,7 @@
         self._service(mail.service).withdraw(mail.request_id)
         grant = self._granted.get(mail.request_id)
         if grant is not None:
-            ended = serving.Ended(
+            ended = serving.AttemptEnded(
                 mail.request_id, grant.runner.runner_id, serving.WITHDRAWN, 0, 0
             )
             self._report(Report(mail.service, ended))
@@ -253,4 +255,4 @@
     domain = settings.process.failure_domain
     entries = [peer for peer in settings.peers if peer.role == "entry"]
     near = sum(peer.failure_domain == domain for peer in entries)
-    return serving.Place(domain, near + 1, len(entries) + 1)
+    return serving.EntryLocation(domain, near + 1, len(entries) + 1)
--- a/alderreach/ops/entry/requests.py
+++ b/alderreach/ops/entry/requests.py
@@ -210,7 +210,7 @@
             run_ms = self._clock.monotonic_ms() - started_ms
             self._dispatcher.report(
                 request.service.name,
-                serving.Ended(
+                serving.AttemptEnded(
                     request.request_id,
                     runner.runner_id,
                     reply.result,
--- a/tools/virtual_load.py
+++ b/tools/virtual_load.py
@@ -1,8 +1,8 @@
 """Load on the entries' decisions in virtual time: callers, entries and runners.
 
 Tests and benches say what callers do and what runners are like, let the time pass, and
-look at what each caller got. A decision object has ``arrive``, ``ended`` and ``tick``,
-as ``serving.Service`` has; a baseline with the same methods can be put in its place.
+look at what each caller got. A decision object has ``submit``, ``on_attempt_ended`` and
+``tick``, as ``serving.Service`` has; a baseline with the same methods can replace it.
 """
 
 import heapq
@@ -128,7 +128,7 @@
         ask = serving.Ask(
             request_id, call.team, call.priority, now_ms, now_ms + call.deadline_ms
         )
-        self._carry_out(self.decide.arrive(ask, now_ms))
+        self._carry_out(self.decide.submit(ask, now_ms))
 
     def _tick(self):
         self.loop.after(TICK_MS, self._tick)
@@ -159,11 +159,11 @@
         now_ms = self.loop.now_ms
         request_id, runner_id = grant.request_id, grant.runner.runner_id
         run_ms = now_ms - sent_ms
-        ended = serving.Ended(request_id, runner_id, result, status, run_ms)
+        ended = serving.AttemptEnded(request_id, runner_id, result, status, run_ms)
         call, arrived_ms, attempts, avoided, _ = state = self._open[request_id]
         if result == serving.ANSWERED:
             self._end(request_id, "ran", status, 0)
-        self._carry_out(self.decide.ended(ended, now_ms))
+        self._carry_out(self.decide.on_attempt_ended(ended, now_ms))
         if result == serving.ANSWERED:
             return
         state[3] = avoided = (*avoided, runner_id)
@@ -176,7 +176,7 @@
             attempts + 1,
             result,
         )
-        self._carry_out(self.decide.arrive(ask, now_ms, avoided))
+        self._carry_out(self.decide.submit(ask, now_ms, avoided))
 
     def _end(self, request_id, outcome, status, retry_after_ms):
         call, arrived_ms, attempts, _, _ = self._open.pop(request_id)
@@ -204,7 +204,9 @@
         ]
         self.entries = []
         for domain in range(domains):
-            place = serving.Place(f"domain-{domain}", entries, domains * entries)
+            place = serving.EntryLocation(
+                f"domain-{domain}", entries, domains * entries
+            )
             for _ in range(entries):
                 decide = make_decide(place, random.Random(len(self.entries)))
                 decide.set_runners([runner.view for runner in self.runners])
