--- a/alderreach/decisions/preemption.py
+++ b/alderreach/decisions/preemption.py
@@ -19,15 +19,15 @@
 PREEMPTIONS_ALLOWED = 3
 NORMAL_FLOOR = 0.1
 # Tasks of one line that room is made for in one tick, which bounds the tick.
-TASKS_PER_TICK = 128
-WINDOW = 64
-WINDOW_PER_TASK = 4
+MAX_TASKS_PER_TICK = 128
+MIN_WORKERS_EXAMINED = 64
+WORKERS_EXAMINED_PER_TASK = 4
 # In units of one step of priority.
 COST_LOST_WORK = 10
 COST_SERVICE = 30
 COST_GANG_TASK = 10
-COST_AGAIN = 5
-MINUTES_COUNTED = 10
+COST_PER_PREEMPTION = 5
+MAX_MINUTES_COUNTED = 10
 MS_PER_MINUTE = 60_000
 
 
@@ -41,7 +41,7 @@
 
 
 def _plan_line(state, line):
-    need = _need(state, line)
+    need = _tasks_needed(state, line)
     if need <= 0:
         return
     options = _options(state, line, need)
@@ -54,17 +54,17 @@
             break
         chosen.append(option)
         need -= option[3]
-    if not chosen or (job is not None and _is_reserved(state, job)):
+    if not chosen or (job is not None and _has_reservation(state, job)):
         return
     workers = [worker for _, _, worker, _, _ in chosen]
     reservation = reservations.reserve(state, line, job, workers, urgent=True)
     for _, _, worker, copies, victims in chosen:
         reservation.planned[worker] = copies
         for run in victims:
-            displace(state, run)
+            preempt(state, run)
 
 
-def _need(state, line):
+def _tasks_needed(state, line):
     """Return for how many tasks of a line room should be made now."""
     account = state.ledger.account(line.team)
     left = resources.minus(account.quota, account.used)
@@ -75,18 +75,18 @@
     wanted = 0
     for job in line.jobs.values():
         wanted += job.waiting
-        if wanted >= TASKS_PER_TICK:
+        if wanted >= MAX_TASKS_PER_TICK:
             break
-    return min(wanted, allowed, TASKS_PER_TICK)
+    return min(wanted, allowed, MAX_TASKS_PER_TICK)
 
 
-def _is_reserved(state, job):
+def _has_reservation(state, job):
     return any(each.job is job for each in state.reservations)
 
 
 def _options(state, line, need):
     """Return (cost, order, worker, copies, victims) by the cost of a copy."""
-    window = max(WINDOW, WINDOW_PER_TASK * need)
+    window = max(MIN_WORKERS_EXAMINED, WORKERS_EXAMINED_PER_TASK * need)
     workers = [
         worker
         for worker in draining.candidates(state, line.demand, window)
@@ -97,16 +97,16 @@
     each = need if line.is_gang else -(-need // len(workers))
     options = []
     for worker in workers:
-        copies, cost, victims = _make_room(state, worker, line, each)
+        copies, cost, victims = _choose_victims(state, worker, line, each)
         if copies:
             options.append((cost / copies, worker.order, worker, copies, victims))
     options.sort(key=lambda option: option[:2])
     return options
 
 
-def _make_room(state, worker, line, wanted):
+def _choose_victims(state, worker, line, wanted):
     """Return how many copies fit, at what cost, and whom it displaces."""
-    runs = [run for run in worker.tasks if may_displace(run, line.priority)]
+    runs = [run for run in worker.tasks if may_preempt(run, line.priority)]
     runs.sort(key=lambda run: (_cost(state, run), -run.started_ms, run.number))
     demand, free = line.demand, worker.free
     copies, cost, victims, kept = resources.copies(demand, free), 0, [], 0
@@ -121,7 +121,7 @@
     return min(copies, wanted), cost, victims[:kept]
 
 
-def may_displace(run, priority):
+def may_preempt(run, priority):
     """Whether a run may be stopped for work of an urgent priority."""
     job = run.job
     if run.stop or job.is_urgent() or job.spec.priority >= priority:
@@ -129,12 +129,12 @@
     return job.preempted.get(run.number, 0) < PREEMPTIONS_ALLOWED
 
 
-def cheapest_checkpoint(state, worker, priority):
+def cheapest_checkpointable(state, worker, priority):
     """Return the task that gives way at the least cost, None if none can checkpoint."""
     runs = [
         run
         for run in worker.tasks
-        if run.job.spec.checkpoint and may_displace(run, priority)
+        if run.job.spec.checkpoint and may_preempt(run, priority)
     ]
     return min(
         runs,
@@ -145,10 +145,12 @@
 
 def _cost(state, run):
     job = run.job
-    cost = job.spec.priority + 1 + COST_AGAIN * job.preempted.get(run.number, 0)
+    cost = (
+        job.spec.priority + 1 + COST_PER_PREEMPTION * job.preempted.get(run.number, 0)
+    )
     minutes = (state.now_ms - run.started_ms) / MS_PER_MINUTE
     if not job.spec.checkpoint:
-        cost += COST_LOST_WORK + min(MINUTES_COUNTED, minutes)
+        cost += COST_LOST_WORK + min(MAX_MINUTES_COUNTED, minutes)
     if job.is_service():
         cost += COST_SERVICE
     if job.is_gang():
@@ -156,7 +158,7 @@
     return cost
 
 
-def displace(state, run):
+def preempt(state, run):
     """Let a run give way, by a checkpoint if it can."""
     job = run.job
     job.preempted[run.number] = job.preempted.get(run.number, 0) + 1
--- a/alderreach/decisions/quarantine.py
+++ b/alderreach/decisions/quarantine.py
@@ -25,39 +25,39 @@
 # Odds of a thousand to one that a worker like its peers would have failed the same.
 SUSPICION_LIMIT = math.log(1000)
 # Failures further apart than this are not one fault.
-MEMORY_MS = 600_000
+FAILURE_WINDOW_MS = 600_000
 PROBE_AFTER_MS = 30_000
-LONGEST_WAIT_MS = 600_000
-PROBES_PER_TICK = 4
-QUARANTINED_SHARE = 0.25
+MAX_PROBE_WAIT_MS = 600_000
+MAX_PROBES_PER_TICK = 4
+MAX_QUARANTINED_SHARE = 0.25
 # A refusal says nothing of its job, so it counts as even odds.
-REFUSAL = math.log(2)
+REFUSAL_SUSPICION = math.log(2)
 # Of the jobs nothing is known of, this share is taken to be broken.
 PRIOR_FAILURES = 0.3
-JOBS_REMEMBERED = 32
+MAX_JOBS_REMEMBERED = 32
 
 
 class Record:
     """What speaks against one worker."""
 
-    __slots__ = ("last_ms", "probe", "refused", "strikes", "wait_ms")
+    __slots__ = ("last_ms", "probe", "refused", "task_failures", "wait_ms")
 
     def __init__(self):
         self.refused = 0
         self.last_ms = 0
-        self.strikes = {}
+        self.task_failures = {}
         self.probe = None
         self.wait_ms = PROBE_AFTER_MS
 
 
-class Judge:
+class WorkerQuarantine:
     """Tells bad workers from bad jobs."""
 
     def __init__(self, state):
         self._state = state
         self._records = {}
         self._quarantined = set()
-        self._probes = []
+        self._scheduled_probes = []
 
     def on_finished(self, run):
         """A task ended well: its worker is well."""
@@ -74,16 +74,16 @@
         record = self._records.setdefault(run.worker_id, Record())
         now_ms = self._state.now_ms
         if record.probe is run:
-            record.wait_ms = min(2 * record.wait_ms, LONGEST_WAIT_MS)
-            self._probe_later(run.worker_id, record)
+            record.wait_ms = min(2 * record.wait_ms, MAX_PROBE_WAIT_MS)
+            self._schedule_probe(run.worker_id, record)
             return
         if run.worker_id in self._quarantined:
             return
-        if now_ms - record.last_ms > MEMORY_MS:
+        if now_ms - record.last_ms > FAILURE_WINDOW_MS:
             record.refused = 0
-            record.strikes.clear()
+            record.task_failures.clear()
         record.last_ms = now_ms
-        _strike(record, run, outcome)
+        _record_failure(record, run, outcome)
         if suspicion(record) >= SUSPICION_LIMIT and self._may_quarantine():
             self._quarantine(run.worker_id, record)
 
@@ -91,7 +91,7 @@
         """A task ended in a way that says nothing; a probe is tried again."""
         record = self._records.get(run.worker_id)
         if record is not None and record.probe is run:
-            self._probe_later(run.worker_id, record)
+            self._schedule_probe(run.worker_id, record)
 
     def worker_added(self, worker):
         """A worker was taken up; it starts with a clean record."""
@@ -101,23 +101,27 @@
         """A worker is gone."""
         self._forget(worker_id)
 
-    def probe(self, lines):
+    def start_probes(self, lines):
         """Give quarantined workers whose wait is over one task each.
 
         ``lines()`` walks through what waits. Each probe walks anew, since the one
         before may have taken the last task of a line or team: walked on, the walk
         failed, and a worker found nothing of what another had been shown.
         """
-        left = PROBES_PER_TICK
-        while left and self._probes and self._probes[0][0] <= self._state.now_ms:
-            _, worker_id = heapq.heappop(self._probes)
+        left = MAX_PROBES_PER_TICK
+        while (
+            left
+            and self._scheduled_probes
+            and self._scheduled_probes[0][0] <= self._state.now_ms
+        ):
+            _, worker_id = heapq.heappop(self._scheduled_probes)
             left -= 1
             record = self._records.get(worker_id)
             if worker_id in self._quarantined and record.probe is None:
-                self._probe(worker_id, record, lines())
+                self._probe_worker(worker_id, record, lines())
 
     def _may_quarantine(self):
-        limit = max(1, int(QUARANTINED_SHARE * len(self._state.cell.workers)))
+        limit = max(1, int(MAX_QUARANTINED_SHARE * len(self._state.cell.workers)))
         return len(self._quarantined) < limit
 
     def _quarantine(self, worker_id, record):
@@ -127,25 +131,28 @@
         self._quarantined.add(worker_id)
         worker.quarantined = True
         self._state.cell.reconsider(worker)
-        self._forgive(record)
-        self._probe_later(worker_id, record)
+        self._remove_from_job_records(record)
+        self._schedule_probe(worker_id, record)
 
-    def _forgive(self, record):
+    def _remove_from_job_records(self, record):
         """Take the failures that the worker caused off its jobs' records."""
-        for job, numbers in record.strikes.items():
+        for job, numbers in record.task_failures.items():
             job.ends -= len(numbers)
             job.failed_ends -= len(numbers)
             job.failed_in_a_row = max(0, job.failed_in_a_row - len(numbers))
             for number in numbers:
                 if job.failures.get(number):
                     job.failures[number] -= 1
-        record.strikes.clear()
+        record.task_failures.clear()
 
-    def _probe_later(self, worker_id, record):
+    def _schedule_probe(self, worker_id, record):
         record.probe = None
-        heapq.heappush(self._probes, (self._state.now_ms + record.wait_ms, worker_id))
+        heapq.heappush(
+            self._scheduled_probes,
+            (self._state.now_ms + record.wait_ms, worker_id),
+        )
 
-    def _probe(self, worker_id, record, lines):
+    def _probe_worker(self, worker_id, record, lines):
         worker = self._state.cell.workers[worker_id]
         has_gangs = False
         for line in lines:
@@ -154,17 +161,17 @@
                 return
             has_gangs = has_gangs or line.is_gang
         if has_gangs and worker.is_open:
-            self._trust(worker, record)
+            self._release_without_probe(worker, record)
         else:
-            self._probe_later(worker_id, record)
+            self._schedule_probe(worker_id, record)
 
-    def _trust(self, worker, record):
+    def _release_without_probe(self, worker, record):
         """Let a worker out unproved, where only gangs could prove it well.
 
         A gang is no probe. One that needs the worker would wait for ever where nothing
         else is handed in. Should it still be bad, its next wait is twice as long.
         """
-        record.wait_ms = min(2 * record.wait_ms, LONGEST_WAIT_MS)
+        record.wait_ms = min(2 * record.wait_ms, MAX_PROBE_WAIT_MS)
         self._quarantined.discard(worker.worker_id)
         worker.quarantined = False
         self._state.cell.reconsider(worker)
@@ -174,7 +181,7 @@
             return False
         job = line.head()
         account = self._state.ledger.account(line.team)
-        suspect = job.failed_in_a_row or job in record.strikes
+        suspect = job.failed_in_a_row or job in record.task_failures
         if suspect or not self._state.ledger.allows(account, line.demand):
             return False
         demand, free = line.demand, worker.free
@@ -194,8 +201,8 @@
 
 def suspicion(record):
     """Return how unlikely the failures on a worker are if it is like its peers."""
-    total = record.refused * REFUSAL
-    for job, numbers in record.strikes.items():
+    total = record.refused * REFUSAL_SUSPICION
+    for job, numbers in record.task_failures.items():
         here = len(numbers)
         failed = job.failed_ends - here + PRIOR_FAILURES
         ended = job.ends - here + 1
@@ -204,10 +211,10 @@
     return total
 
 
-def _strike(record, run, outcome):
+def _record_failure(record, run, outcome):
     if outcome == "refused":
         record.refused += 1
         return
-    record.strikes.setdefault(run.job, []).append(run.number)
-    if len(record.strikes) > JOBS_REMEMBERED:
-        del record.strikes[next(iter(record.strikes))]
+    record.task_failures.setdefault(run.job, []).append(run.number)
+    if len(record.task_failures) > MAX_JOBS_REMEMBERED:
+        del record.task_failures[next(iter(record.task_failures))]
--- a/alderreach/decisions/quotas.py
+++ b/alderreach/decisions/quotas.py
@@ -23,7 +23,7 @@
 # As long as a large task waits for room before a worker is drained for it.
 SAVE_AFTER_MS = 15_000
 # The latest is then eight minutes, against tasks that run for minutes.
-DOUBLINGS = 5
+MAX_DOUBLINGS = 5
 
 
 class Account:
@@ -95,7 +95,7 @@
         """Note that a line waits for quota; after a while it is saved for."""
         if line.quota_since_ms is None:
             line.quota_since_ms = now_ms
-        after_ms = SAVE_AFTER_MS << min(line.vain_savings, DOUBLINGS)
+        after_ms = SAVE_AFTER_MS << min(line.vain_savings, MAX_DOUBLINGS)
         is_due = line.quota_since_ms + after_ms <= now_ms
         if (
             account.saved_for is None
@@ -108,14 +108,14 @@
     def stop_saving(self, line):
         """The line was served, or waits no more."""
         line.vain_savings = 0
-        self._forget_saving(line)
+        self._clear_saving(line)
 
     def abandon_saving(self, line):
         """The line has the quota that was saved for it, and can't use it."""
         line.vain_savings += 1
-        self._forget_saving(line)
+        self._clear_saving(line)
 
-    def _forget_saving(self, line):
+    def _clear_saving(self, line):
         line.quota_since_ms = None
         account = self.account(line.team)
         if account.saved_for is line:
--- a/alderreach/decisions/reservations.py
+++ b/alderreach/decisions/reservations.py
@@ -17,9 +17,9 @@
 from alderreach.decisions import gangs, resources
 
 # A stop that has not ended by then is the placer's to settle; the room goes back.
-URGENT_HOLD_MS = 30_000
+MAX_URGENT_HOLD_MS = 30_000
 # Searches for free room to keep in one try; each finds up to eight workers.
-CAPTURES = 64
+MAX_CAPTURE_SEARCHES = 64
 
 
 class Reservation:
@@ -32,7 +32,7 @@
 
     __slots__ = (
         "changed",
-        "enough",
+        "expected",
         "fillers",
         "job",
         "line",
@@ -53,7 +53,7 @@
         self.workers = {}
         self.planned = {}
         self.ready = 0
-        self.enough = 0
+        self.expected = 0
         self.changed = {}
         self.fillers = []
         self.needed_at_ms = now_ms
@@ -67,13 +67,13 @@
     if job is None:
         line.reservation = reservation
     for worker in workers:
-        _add(state, reservation, worker)
+        _reserve_worker(state, reservation, worker)
     return reservation
 
 
-def _add(state, reservation, worker):
+def _reserve_worker(state, reservation, worker):
     if worker.held_for is not None:
-        _drop(state, worker.held_for, worker)
+        _release_worker(state, worker.held_for, worker)
     worker.held_for = reservation
     reservation.workers[worker] = (0, 0)
     state.cell.reconsider(worker)
@@ -85,14 +85,14 @@
     if reservation.line.reservation is reservation:
         reservation.line.reservation = None
     for worker in list(reservation.workers):
-        _drop(state, reservation, worker)
+        _release_worker(state, reservation, worker)
 
 
-def _drop(state, reservation, worker):
-    ready, enough = reservation.workers.pop(worker)
+def _release_worker(state, reservation, worker):
+    ready, expected = reservation.workers.pop(worker)
     reservation.planned.pop(worker, None)
     reservation.ready -= ready
-    reservation.enough -= enough
+    reservation.expected -= expected
     reservation.changed.pop(worker, None)
     worker.held_for = None
     state.cell.reconsider(worker)
@@ -115,14 +115,14 @@
         if worker.held_for is not reservation:
             continue
         if not worker.is_usable():
-            _drop(state, reservation, worker)
+            _release_worker(state, reservation, worker)
             continue
-        ready, enough = reservation.workers[worker]
+        ready, expected = reservation.workers[worker]
         now = resources.copies(demand, worker.free)
         later = max(now, resources.copies(demand, worker.drained()))
         reservation.workers[worker] = (now, later)
         reservation.ready += now - ready
-        reservation.enough += later - enough
+        reservation.expected += later - expected
 
 
 def _serve_gang(state, reservation):
@@ -134,7 +134,7 @@
     elif reservation.ready >= job.waiting:
         gangs.start_whole(state, job, _ready_workers(reservation, job.waiting))
         release(state, reservation)
-    elif reservation.enough < job.waiting:
+    elif reservation.expected < job.waiting:
         release(state, reservation)
     else:
         _serve_gang_from_all(state, reservation)
@@ -156,8 +156,11 @@
         release(state, reservation)
         gangs.start_whole(state, job, workers)
     elif is_oldest(state, reservation):
-        _capture(state, reservation)
-        if reservation.ready + _lent(state, reservation) >= job.waiting:
+        _reserve_free_workers(state, reservation)
+        if (
+            reservation.ready + _copies_held_by_fillers(state, reservation)
+            >= job.waiting
+        ):
             _end_backfill(state, reservation)
 
 
@@ -166,32 +169,32 @@
     return reservation is next(each for each in state.reservations if each.job)
 
 
-def _capture(state, reservation):
+def _reserve_free_workers(state, reservation):
     """Reserve the workers that have room for a task now, up to a number."""
     shape = reservation.line.shape
-    for _ in range(CAPTURES):
+    for _ in range(MAX_CAPTURE_SEARCHES):
         if reservation.ready >= reservation.job.waiting or shape.blocked:
             return
         for worker in state.cell.index.search(shape):
-            _add(state, reservation, worker)
+            _reserve_worker(state, reservation, worker)
         _update(state, reservation)
 
 
-def _lent(state, reservation):
+def _copies_held_by_fillers(state, reservation):
     """Return how many tasks more there were room for without those on borrowed time."""
     demand = reservation.line.demand
     reservation.fillers = [
         run for run in reservation.fillers if run.job.runs.get(run.number) is run
     ]
-    lent = {}
+    reclaimable = {}
     for run in reservation.fillers:
         worker = state.cell.workers.get(run.worker_id)
         if worker in reservation.workers:
-            so_far = lent.get(worker, worker.free)
-            lent[worker] = resources.plus(so_far, run.job.spec.task)
+            so_far = reclaimable.get(worker, worker.free)
+            reclaimable[worker] = resources.plus(so_far, run.job.spec.task)
     return sum(
         resources.copies(demand, free) - reservation.workers[worker][0]
-        for worker, free in lent.items()
+        for worker, free in reclaimable.items()
     )
 
 
@@ -219,7 +222,7 @@
     account = state.ledger.account(line.team)
     for worker in list(reservation.planned):
         _serve_worker(state, reservation, worker, account)
-    overdue = state.now_ms - reservation.since_ms > URGENT_HOLD_MS
+    overdue = state.now_ms - reservation.since_ms > MAX_URGENT_HOLD_MS
     if not line.jobs or not reservation.workers or (reservation.urgent and overdue):
         release(state, reservation)
     elif state.now_ms >= reservation.needed_at_ms:
@@ -227,17 +230,17 @@
 
 
 def _serve_worker(state, reservation, worker, account):
-    line, promised = reservation.line, reservation.planned
-    while promised[worker] and line.jobs and resources.fits(line.demand, worker.free):
+    line, planned = reservation.line, reservation.planned
+    while planned[worker] and line.jobs and resources.fits(line.demand, worker.free):
         if not state.ledger.allows(account, line.demand, line):
             break
         line.blocked_since_ms = None
         state.start(line.head(), worker)
-        promised[worker] -= 1
+        planned[worker] -= 1
     draining = reservation.workers[worker][1] > 0 and not reservation.urgent
     stopping = any(run.stop for run in worker.tasks)
-    if not promised[worker] or not (draining or stopping):
-        _drop(state, reservation, worker)
+    if not planned[worker] or not (draining or stopping):
+        _release_worker(state, reservation, worker)
 
 
 def _end_backfill(state, reservation):
--- a/alderreach/decisions/retries.py
+++ b/alderreach/decisions/retries.py
@@ -9,8 +9,8 @@
 is tried more than ``MAX_ATTEMPTS`` times, and no failure is retried while others wait.
 """
 
-FAILED_SHARE = 0.1
-REFUSED_SHARE = 0.5
+FAILURE_RETRY_SHARE = 0.1
+REFUSAL_RETRY_SHARE = 0.5
 BURST = 10.0
 MAX_ATTEMPTS = 4
 
@@ -19,24 +19,24 @@
     """Retries that may be made now, of one service."""
 
     def __init__(self):
-        self._failed = BURST
-        self._refused = BURST
+        self._failure_tokens = BURST
+        self._refusal_tokens = BURST
 
     def earn(self):
         """A first attempt was granted."""
-        self._failed = min(BURST, self._failed + FAILED_SHARE)
-        self._refused = min(BURST, self._refused + REFUSED_SHARE)
+        self._failure_tokens = min(BURST, self._failure_tokens + FAILURE_RETRY_SHARE)
+        self._refusal_tokens = min(BURST, self._refusal_tokens + REFUSAL_RETRY_SHARE)
 
     def try_spend(self, attempt, was_refused, others_wait):
         """Whether attempt number ``attempt`` may be made; takes it off the budget."""
         if attempt > MAX_ATTEMPTS:
             return False
         if was_refused:
-            has_token = self._refused >= 1
-            self._refused -= has_token
+            has_token = self._refusal_tokens >= 1
+            self._refusal_tokens -= has_token
             return has_token
         if others_wait:
             return False
-        has_token = self._failed >= 1
-        self._failed -= has_token
+        has_token = self._failure_tokens >= 1
+        self._failure_tokens -= has_token
         return has_token
--- a/alderreach/decisions/rounds.py
+++ b/alderreach/decisions/rounds.py
@@ -15,7 +15,7 @@
 from alderreach.decisions import gangs, placement, poison_jobs
 
 # A gang at the head that doesn't fit lets this many behind it try.
-GANGS_LOOKED_AT = 4
+MAX_GANGS_TRIED = 4
 SUSPECT_RETRY_MS = 1_000
 
 
@@ -27,7 +27,7 @@
     while teams and budget > 0:
         name = teams[0][1]
         account = account_of(name)
-        line, job = _next(state, band.get(name, ()), account)
+        line, job = _next_runnable(state, band.get(name, ()), account)
         if line is None:
             heapq.heappop(teams)
             continue
@@ -57,11 +57,11 @@
     return blocked
 
 
-def _next(state, lines, account):
+def _next_runnable(state, lines, account):
     """Return the first line that can run and its job, else a pair of None."""
     for line in lines:
         if line.shape.blocked:
-            _note_blocked(state, line)
+            _mark_blocked(state, line)
         elif not state.ledger.allows(account, line.demand, line):
             line.blocked_since_ms = None
             state.ledger.on_quota_used_up(account, line, line.demand, state.now_ms)
@@ -80,19 +80,19 @@
     Of those behind, one is tried in ``gangs.RETRY_MS``, in turn: looked at from the
     front only, they would wait for ever behind gangs that can't run yet.
     """
-    for job in itertools.islice(line.jobs.values(), GANGS_LOOKED_AT):
+    for job in itertools.islice(line.jobs.values(), MAX_GANGS_TRIED):
         if job.retry_ms <= state.now_ms:
             return job
-    behind = len(line.jobs) - GANGS_LOOKED_AT
+    behind = len(line.jobs) - MAX_GANGS_TRIED
     if behind <= 0 or line.retry_ms > state.now_ms:
         return None
     line.retry_ms = state.now_ms + gangs.RETRY_MS
     line.turn = (line.turn + 1) % behind
-    place = GANGS_LOOKED_AT + line.turn
+    place = MAX_GANGS_TRIED + line.turn
     return next(itertools.islice(line.jobs.values(), place, None))
 
 
-def _note_blocked(state, line):
+def _mark_blocked(state, line):
     if line.blocked_since_ms is None:
         line.blocked_since_ms = state.now_ms
     if line.is_gang:
@@ -105,7 +105,7 @@
     worker = _choose(state, job, line.shape, account)
     if worker is None:
         if line.shape.blocked:
-            _note_blocked(state, line)
+            _mark_blocked(state, line)
         return 1
     line.blocked_since_ms = None
     state.ledger.stop_saving(line)
@@ -115,7 +115,7 @@
 
 def _place_suspect(state, job, line):
     """Place a job on probation where no other suspect runs, else let it pause."""
-    for worker in state.cell.index.search(line.shape, roomy=True):
+    for worker in state.cell.index.search(line.shape, roomiest_first=True):
         if not poison_jobs.is_beside_suspect(worker):
             state.start(job, worker)
             return 1
@@ -132,11 +132,11 @@
         )
         if worker is not None and worker.worker_id != job.avoid:
             return worker
-    roomy = account.objective == "waiting"
-    workers = state.cell.index.search(shape, roomy)
+    roomiest_first = account.objective == "waiting"
+    workers = state.cell.index.search(shape, roomiest_first)
     if job.avoid and len(workers) > 1:
         workers = [w for w in workers if w.worker_id != job.avoid] or workers
     if not workers:
         return None
-    choose = placement.relax if roomy else placement.pack
+    choose = placement.relax if roomiest_first else placement.pack
     return choose(workers, shape.demand)
--- a/alderreach/decisions/routing.py
+++ b/alderreach/decisions/routing.py
@@ -22,9 +22,9 @@
 
 READY = "ready"
 SUSPECT = "suspect"
-GROWTH = 0.1
-REFUSED_KEEPS = 0.7
-REMOTE_START = 1.0
+ALLOWANCE_GROWTH = 0.1
+REFUSAL_FACTOR = 0.7
+REMOTE_START_ALLOWANCE = 1.0
 REMOTE_PAUSE_MS = 200
 SPILL_WAIT_MS = 3.0
 
@@ -44,8 +44,8 @@
         self._runners = {}
         self._outstanding = collections.Counter()
         self._allowances = {}
-        self._own, self._other = [], []
-        self._room = 0
+        self._local, self._remote = [], []
+        self._total_allowance = 0
         self._paused_until_ms = {}
 
     def set_runners(self, runners):
@@ -54,46 +54,46 @@
         for runner_id, runner in self._runners.items():
             old = before.get(runner_id)
             if old is None or old.boot_id != runner.boot_id:
-                self._allowances[runner_id] = self._start(runner)
+                self._allowances[runner_id] = self._starting_allowance(runner)
         for runner_id in before.keys() - self._runners.keys():
             self._allowances.pop(runner_id, None)
             self._paused_until_ms.pop(runner_id, None)
         self._outliers.set_targets(self._runners)
-        self._split()
-        self._count_room()
+        self._split_by_domain()
+        self._update_total_allowance()
 
     @property
     def usable(self):
         """Ids of the runners that may get new work at all."""
-        return {runner.runner_id for runner in self._own + self._other}
+        return {runner.runner_id for runner in self._local + self._remote}
 
-    def most(self):
+    def max_outstanding(self):
         """The most this entry may have under way at all runners together."""
-        return sum(self._cap(runner) for runner in self._own + self._other)
+        return sum(self._max_allowance(runner) for runner in self._local + self._remote)
 
-    def room(self):
+    def total_allowance(self):
         """Slots the allowances give this entry where it sends first."""
-        return self._room
+        return self._total_allowance
 
     def pick(self, now_ms, wait_ms, avoided=()):
         """The runner to send to, or None while there is no room.
 
         ``wait_ms`` is how long the request would wait for a slot of its own domain.
         """
-        chosen = self._least_used(self._own, now_ms, avoided)
-        if chosen is not None or not self._other:
+        chosen = self._least_used(self._local, now_ms, avoided)
+        if chosen is not None or not self._remote:
             return chosen
-        if wait_ms > SPILL_WAIT_MS or not self._has_reachable(self._own, now_ms):
+        if wait_ms > SPILL_WAIT_MS or not self._has_reachable(self._local, now_ms):
             paused = self._paused_until_ms
-            open_now = [r for r in self._other if paused.get(r.runner_id, 0) <= now_ms]
+            open_now = [r for r in self._remote if paused.get(r.runner_id, 0) <= now_ms]
             return self._least_used(open_now, now_ms, avoided)
         return None
 
-    def started(self, runner_id):
+    def on_attempt_started(self, runner_id):
         """A request was granted a runner."""
         self._outstanding[runner_id] += 1
 
-    def ended(self, runner_id, was_refused, was_answered, now_ms):
+    def on_attempt_ended(self, runner_id, was_refused, was_answered, now_ms):
         """An attempt at a runner has ended."""
         used = self._outstanding[runner_id]
         if used <= 1:
@@ -105,28 +105,28 @@
             return
         allowance = self._allowances[runner_id]
         if was_refused:
-            reduced = max(self._start(runner), allowance * REFUSED_KEEPS)
+            reduced = max(self._starting_allowance(runner), allowance * REFUSAL_FACTOR)
             self._allowances[runner_id] = reduced
             if runner.failure_domain != self._domain:
                 self._paused_until_ms[runner_id] = now_ms + REMOTE_PAUSE_MS
-            self._count_room()
+            self._update_total_allowance()
         elif was_answered and used >= int(allowance):
-            grown = allowance + GROWTH / allowance
-            self._allowances[runner_id] = min(grown, float(self._cap(runner)))
-            self._count_room()
+            grown = allowance + ALLOWANCE_GROWTH / allowance
+            self._allowances[runner_id] = min(grown, float(self._max_allowance(runner)))
+            self._update_total_allowance()
 
-    def _start(self, runner):
+    def _starting_allowance(self, runner):
         if runner.failure_domain != self._domain:
-            return REMOTE_START
+            return REMOTE_START_ALLOWANCE
         share = runner.slots // self._entries_in_domain
-        return float(max(1, min(share, self._cap(runner))))
+        return float(max(1, min(share, self._max_allowance(runner))))
 
-    def _cap(self, runner):
+    def _max_allowance(self, runner):
         """Slots, and at most this entry's share of the runner's connections."""
         share = runner.connections // self._entries_in_cell
         return max(1, min(runner.slots, share))
 
-    def _split(self):
+    def _split_by_domain(self):
         """Usable runners by place: ready ones, or suspect ones if no other is left.
 
         All are suspect when the entry has lost their owner: then they may well be up,
@@ -135,12 +135,12 @@
         known = self._runners.values()
         usable = [r for r in known if r.state == READY]
         usable = usable or [r for r in known if r.state == SUSPECT]
-        self._own = [r for r in usable if r.failure_domain == self._domain]
-        self._other = [r for r in usable if r.failure_domain != self._domain]
+        self._local = [r for r in usable if r.failure_domain == self._domain]
+        self._remote = [r for r in usable if r.failure_domain != self._domain]
 
-    def _count_room(self):
-        near = self._own or self._other
-        self._room = sum(int(self._allowances[r.runner_id]) for r in near)
+    def _update_total_allowance(self):
+        near = self._local or self._remote
+        self._total_allowance = sum(int(self._allowances[r.runner_id]) for r in near)
 
     def _has_reachable(self, runners, now_ms):
         return any(self._outliers.weight(r.runner_id, now_ms) > 0 for r in runners)
--- a/alderreach/decisions/scheduler.py
+++ b/alderreach/decisions/scheduler.py
@@ -41,9 +41,9 @@
 Stop = actions.Stop
 Impossible = actions.Impossible
 
-REVIEWS_PER_TICK = 64
+MAX_REVIEWS_PER_TICK = 64
 # Ended jobs whose status can still be asked for.
-STATUSES_KEPT = 10_000
+MAX_STATUSES_KEPT = 10_000
 
 
 class Scheduler:
@@ -51,7 +51,7 @@
 
     def __init__(self, random):
         self._state = state.State(random)
-        self._judge = quarantine.Judge(self._state)
+        self._quarantine = quarantine.WorkerQuarantine(self._state)
         self._parking = impossible.Parking(self._state)
         self._poison_jobs = poison_jobs.PoisonJobs(self._state, self._parking.condemn)
         self._observer = usage.Observer(self._state)
@@ -72,13 +72,13 @@
         if known is not None and known.capacity == capacity:
             return
         worker = self._state.add_worker(worker_id, vm, rack, capacity)
-        self._judge.worker_added(worker)
+        self._quarantine.worker_added(worker)
         self._parking.supply_changed()
 
     def remove_worker(self, worker_id):
         """Forget a worker; its tasks are reported as lost one by one."""
         self._state.remove_worker(worker_id)
-        self._judge.worker_removed(worker_id)
+        self._quarantine.worker_removed(worker_id)
         self._poison_jobs.worker_removed(worker_id)
         self._observer.forget(worker_id)
 
@@ -98,7 +98,7 @@
             return
         if job.job_id in self._done:
             return
-        given = self._observer.given_to(job)
+        given = self._observer.with_learned_size(job)
         waiting = self._state.jobs[job.job_id] = jobs.JobState(given, job.task)
         self._state.adopt_orphans(waiting)
         self._parking.admit(waiting)
@@ -165,7 +165,7 @@
         if run is None:
             endings.end_unseen(self._state, job, number, attempt, outcome)
         elif run.attempt == attempt:
-            endings.end(self._state, self._judge, self._poison_jobs, run, outcome)
+            endings.end(self._state, self._quarantine, self._poison_jobs, run, outcome)
         self._close_if_done(job)
 
     def observe_usage(self, worker_id, used):
@@ -176,16 +176,16 @@
 
     def tick(self, now_ms, budget):
         """Return the next decisions, about ``budget`` of them."""
-        leader = self._state
-        leader.now_ms = now_ms
-        leader.decisions = decisions = []
-        leader.cell.index.refresh()
+        cell_state = self._state
+        cell_state.now_ms = now_ms
+        cell_state.decisions = decisions = []
+        cell_state.cell.index.refresh()
         self._emit_stops(budget // 2)
         self._review()
         self._parking.check_parked()
-        reservations.serve(leader)
+        reservations.serve(cell_state)
         self._place_urgent(budget)
-        self._judge.probe(leader.backlog.lines)
+        self._quarantine.start_probes(cell_state.backlog.lines)
         self._place_normal(budget)
         self._plan_ahead()
         self._emit_stops(budget - len(decisions))
@@ -197,13 +197,13 @@
         if job is None:
             return self._done.get(job_id)
         if job.parked:
-            word = "impossible" if job.named else "waiting"
-            return state.status(job, word, job.parked)
+            state_name = "impossible" if job.named else "waiting"
+            return state.job_status(job, state_name, job.parked)
         if job.runs:
-            return state.status(job, "running", "")
-        return state.status(job, "waiting", self._why_waiting(job))
+            return state.job_status(job, "running", "")
+        return state.job_status(job, "waiting", self._why_waiting(job))
 
-    def reserved(self, worker_id):
+    def allocated(self, worker_id):
         """Return what is given out on a worker."""
         worker = self._state.cell.workers.get(worker_id)
         if worker is None:
@@ -227,34 +227,34 @@
         return "no room" if job.line is not None else "pausing after a failure"
 
     def _place_urgent(self, budget):
-        leader = self._state
-        band = leader.backlog.bands[backlog.URGENT]
-        rounds.place_band(leader, band, budget - len(leader.decisions))
-        backfill.use_reserved(leader, rounds.blocked_lines(leader, band))
-        preemption.plan(leader, rounds.blocked_lines(leader, band))
+        cell_state = self._state
+        band = cell_state.backlog.bands[backlog.URGENT]
+        rounds.place_band(cell_state, band, budget - len(cell_state.decisions))
+        backfill.use_reserved(cell_state, rounds.blocked_lines(cell_state, band))
+        preemption.plan(cell_state, rounds.blocked_lines(cell_state, band))
 
     def _place_normal(self, budget):
-        leader = self._state
-        band = leader.backlog.bands[backlog.NORMAL]
-        rounds.place_band(leader, band, budget - len(leader.decisions))
-        backfill.fill(leader, rounds.blocked_lines(leader, band))
+        cell_state = self._state
+        band = cell_state.backlog.bands[backlog.NORMAL]
+        rounds.place_band(cell_state, band, budget - len(cell_state.decisions))
+        backfill.fill(cell_state, rounds.blocked_lines(cell_state, band))
 
     def _plan_ahead(self):
         """Reserve room for who is passed over; park who can't run at all."""
-        leader = self._state
-        for band in leader.backlog.bands:
+        cell_state = self._state
+        for band in cell_state.backlog.bands:
             self._parking.check_lines(rounds.stuck_lines(band))
         self._parking.name_due()
         blocked = [
             line
-            for band in leader.backlog.bands
-            for line in rounds.blocked_lines(leader, band)
+            for band in cell_state.backlog.bands
+            for line in rounds.blocked_lines(cell_state, band)
         ]
-        draining.plan(leader, blocked)
-        draining.end_vain_savings(leader, blocked)
+        draining.plan(cell_state, blocked)
+        draining.end_vain_savings(cell_state, blocked)
 
     def _review(self):
-        for job in self._state.due_reviews(REVIEWS_PER_TICK):
+        for job in self._state.due_reviews(MAX_REVIEWS_PER_TICK):
             if self._state.jobs.get(job.spec.job_id) is job:
                 self._poison_jobs.review(job)
                 endings.review(self._state, job)
@@ -281,15 +281,15 @@
     def _close_if_done(self, job):
         if not job.is_done():
             return
-        word = "failed" if job.failed else "finished"
+        state_name = "failed" if job.failed else "finished"
         if job.cancelled:
-            word = "cancelled"
+            state_name = "cancelled"
         self._state.backlog.remove(job)
         self._parking.forget(job)
         self._poison_jobs.forget(job)
         del self._state.jobs[job.spec.job_id]
-        self._done[job.spec.job_id] = state.status(job, word, "")
-        if len(self._done) > STATUSES_KEPT:
+        self._done[job.spec.job_id] = state.job_status(job, state_name, "")
+        if len(self._done) > MAX_STATUSES_KEPT:
             self._done.popitem(last=False)
 
 
--- a/alderreach/decisions/search.py
+++ b/alderreach/decisions/search.py
@@ -28,7 +28,7 @@
 # Workers with more free accelerators than this share a level.
 ACCELERATOR_LEVELS = 16
 # More than the 73 teams' workloads that are active together; about 5 KB each.
-IDLE_SHAPES = 512
+MAX_IDLE_SHAPES = 512
 
 
 class Bucket(typing.NamedTuple):
@@ -50,7 +50,7 @@
         self._order = []
         self._buckets = {}
         self._bucket_list = []
-        self._grown = {}
+        self._freed = {}
 
     def add(self, worker):
         """Take up a worker."""
@@ -68,7 +68,7 @@
         last.order = worker.order
         # A scan that has passed this place would miss the worker moved here.
         if last.bucket is not None:
-            self._grown[last] = None
+            self._freed[last] = None
 
     def move(self, worker):
         """Move a worker to the bucket of its free capacity, or out of the index."""
@@ -87,15 +87,15 @@
         """Move a worker that may have gained room, and remember that it has."""
         self.move(worker)
         if worker.bucket is None:
-            self._grown.pop(worker, None)
+            self._freed.pop(worker, None)
         else:
-            self._grown[worker] = None
+            self._freed[worker] = None
 
     def undo(self, shape, worker):
         """Move a worker whose room was tried for a shape and given back."""
         self.move(worker)
         if worker.bucket is not None:
-            shape.fresh[worker] = None
+            shape.freed[worker] = None
             shape.blocked = False
 
     def acquire_shape(self, demand):
@@ -119,21 +119,23 @@
             return
         del self._shapes[shape.demand]
         self._idle_shapes[shape.demand] = shape
-        if len(self._idle_shapes) > IDLE_SHAPES:
+        if len(self._idle_shapes) > MAX_IDLE_SHAPES:
             self._idle_shapes.popitem(last=False)
 
     def refresh(self):
         """Tell each shape which workers have gained room for it since the last call."""
-        grown = self._grown
-        if not grown:
+        freed_workers = self._freed
+        if not freed_workers:
             return
-        most = common.Resources(*map(max, zip(*(w.free for w in grown), strict=True)))
+        most = common.Resources(
+            *map(max, zip(*(w.free for w in freed_workers), strict=True))
+        )
         for shape in self._shapes.values():
             if shape.scanning and resources.fits(shape.demand, most):
-                shapes.refresh(shape, grown)
-        self._grown = {}
+                shapes.refresh(shape, freed_workers)
+        self._freed = {}
 
-    def search(self, shape, roomy=False):
+    def search(self, shape, roomiest_first=False):
         """Return workers with room for a shape, tightest or roomiest first.
 
         An empty list says that there is none if ``shape.blocked`` is set; else that
@@ -142,27 +144,27 @@
         if shape.blocked:
             return []
         if not shape.scanning:
-            found = self._sample(shape, roomy)
+            found = self._sample(shape, roomiest_first)
             if found or shape.blocked:
                 return found
-        found = shapes.search_fresh(shape)
+        found = shapes.search_freed(shape)
         if not found and shape.overflow:
             shape.restart()
         elif not found:
             found = self._scan(shape)
         return found
 
-    def _sample(self, shape, roomy):
-        if shape.known < len(self._bucket_list):
-            self._learn_buckets(shape)
+    def _sample(self, shape, roomiest_first):
+        if shape.known_buckets < len(self._bucket_list):
+            self._add_new_buckets(shape)
         found = []
         cpu_millis, memory_mb, accelerators = shape.demand
-        buckets = reversed(shape.buckets) if roomy else shape.buckets
-        held = 0
+        buckets = reversed(shape.buckets) if roomiest_first else shape.buckets
+        worker_count = 0
         for _, _, workers in buckets:
             if not workers:
                 continue
-            held += len(workers)
+            worker_count += len(workers)
             start = int(self._random.random() * len(workers))
             for worker in workers[start : start + SAMPLES_PER_BUCKET]:
                 cpu, memory, idle = worker.free
@@ -170,11 +172,11 @@
                     found.append(worker)
             if len(found) >= shapes.CANDIDATES:
                 break
-        if not found and held <= SCAN_LIMIT:
-            found = self._look_at_all(shape)
+        if not found and worker_count <= SCAN_LIMIT:
+            found = self._search_buckets_fully(shape)
         return found
 
-    def _look_at_all(self, shape):
+    def _search_buckets_fully(self, shape):
         """Look at every worker of the shape's buckets; if none has room, that's all."""
         found = [
             worker
@@ -188,12 +190,12 @@
             shape.blocked = True
         return found
 
-    def _learn_buckets(self, shape):
+    def _add_new_buckets(self, shape):
         """Sort the buckets made since the last call in by how tight they are."""
         cpu_millis, memory_mb, accelerators = shape.demand
         cpu, memory = level(cpu_millis), level(memory_mb)
         accelerators = min(accelerators, ACCELERATOR_LEVELS)
-        for number in range(shape.known, len(self._bucket_list)):
+        for number in range(shape.known_buckets, len(self._bucket_list)):
             bucket = self._bucket_list[number]
             if (
                 bucket.accelerators >= accelerators
@@ -202,7 +204,7 @@
             ):
                 tightness = (bucket.accelerators, bucket.cpu + bucket.memory)
                 bisect.insort(shape.buckets, (tightness, number, bucket.workers))
-        shape.known = len(self._bucket_list)
+        shape.known_buckets = len(self._bucket_list)
 
     def _scan(self, shape):
         first = shape.scanned
--- a/alderreach/decisions/serving.py
+++ b/alderreach/decisions/serving.py
@@ -97,7 +97,7 @@
         """Take the runners of the service as they are now known."""
         self._router.set_runners(runners)
         self._limit.set_bounds(
-            max(1, len(self._router.usable)), max(1, self._router.most())
+            max(1, len(self._router.usable)), max(1, self._router.max_outstanding())
         )
 
     def configure(self, weights, declared_run_ms):
@@ -115,7 +115,7 @@
         """Requests under way."""
         return len(self._running)
 
-    def submit(self, ask, now_ms, avoided=(), room=None):
+    def submit(self, ask, now_ms, avoided=(), free_places=None):
         """Take a request in, or turn it away; others may be affected.
 
         ``room`` is how many more may wait in the entry, whatever their service.
@@ -137,8 +137,8 @@
         if ask.attempt == 1:
             self._budget.earn()
         bound = self._queue_length
-        if room is not None:
-            bound = min(bound, len(self._line) - 1 + room)
+        if free_places is not None:
+            bound = min(bound, len(self._line) - 1 + free_places)
         decisions = self.dispatch(now_ms)
         return decisions + self._shed(waiting, bound)
 
@@ -151,9 +151,11 @@
         running = self._running.pop(ended.request_id, None)
         was_answered = ended.result == ANSWERED
         was_refused = ended.result == REFUSED
-        self._router.ended(ended.runner_id, was_refused, was_answered, now_ms)
+        self._router.on_attempt_ended(
+            ended.runner_id, was_refused, was_answered, now_ms
+        )
         if running is not None:
-            self._learn(ended, running, now_ms)
+            self._record_attempt(ended, running, now_ms)
         return self.dispatch(now_ms)
 
     def dispatch(self, now_ms):
@@ -165,7 +167,7 @@
                 break
             if self._is_hopeless(waiting, now_ms):
                 self._line.drop(waiting)
-                decisions.append(self._late(waiting.ask, now_ms))
+                decisions.append(self._deadline_refusal(waiting.ask, now_ms))
                 continue
             wait_ms = self._own_wait_ms(waiting, now_ms)
             runner = self._router.pick(now_ms, wait_ms, waiting.avoided)
@@ -182,20 +184,20 @@
         """Let time pass: returns (decisions, changes of targets for the time line)."""
         changes = self._outliers.tick(now_ms)
         removed = self._line.remove(lambda each: self._is_hopeless(each, now_ms))
-        late = [self._late(waiting.ask, now_ms) for waiting in removed]
+        late = [self._deadline_refusal(waiting.ask, now_ms) for waiting in removed]
         return late + self.dispatch(now_ms), changes
 
     def withdraw(self, request_id):
         """Forget a waiting request; False if it does not wait."""
         return bool(self._line.remove(lambda each: each.ask.request_id == request_id))
 
-    def _slots(self):
+    def _usable_slots(self):
         """Slots this entry can count on: its own domain's, or more if it has them."""
-        held = max(self._router.room(), len(self._running))
-        return max(1, min(self._limit.value, held))
+        allowed = max(self._router.total_allowance(), len(self._running))
+        return max(1, min(self._limit.value, allowed))
 
     def _estimate(self, ask, now_ms):
-        slots = self._slots()
+        slots = self._usable_slots()
         return admission.estimate(
             ask,
             self._line.backlog(ask.team, ordering.is_urgent(ask)),
@@ -209,7 +211,7 @@
     def _own_wait_ms(self, waiting, now_ms):
         """How long the head of the line has waited and will for an own runner."""
         waited_ms = now_ms - waiting.ask.arrived_ms
-        return waited_ms + self._run_times.overall_ms / self._slots()
+        return waited_ms + self._run_times.overall_ms / self._usable_slots()
 
     def _may_retry(self, ask):
         was_refused = ask.previous in (REFUSED, UNREACHABLE)
@@ -220,7 +222,7 @@
         wait_ms = admission.retry_after_ms(
             backlog.total_ms,
             self._run_times.expected_ms(ask.team),
-            self._slots(),
+            self._usable_slots(),
             self._random,
         )
         return Refusal(ask.request_id, errors.Kind.OVERLOADED, wait_ms)
@@ -240,13 +242,13 @@
 
     def _grant(self, waiting, runner):
         ask = waiting.ask
-        self._router.started(runner.runner_id)
+        self._router.on_attempt_started(runner.runner_id)
         self._running[ask.request_id] = _Running(
             ask.team, runner.runner_id, waiting.cost_ms
         )
         return Grant(ask.request_id, runner, waiting.cost_ms)
 
-    def _learn(self, ended, running, now_ms):
+    def _record_attempt(self, ended, running, now_ms):
         self._line.correct(running.team, ended.run_ms - running.cost_ms)
         if ended.result == UNREACHABLE:
             self._outliers.unreachable(ended.runner_id, now_ms)
@@ -264,7 +266,7 @@
         run_ms = self._run_times.expected_ms(waiting.ask.team) if self._running else 0
         return admission.is_hopeless(waiting.ask, run_ms, now_ms)
 
-    def _late(self, ask, now_ms):
+    def _deadline_refusal(self, ask, now_ms):
         refusal = self._overloaded(ask)
         if ask.deadline_ms > now_ms:
             return refusal
--- a/alderreach/decisions/shapes.py
+++ b/alderreach/decisions/shapes.py
@@ -10,7 +10,7 @@
 """
 
 CANDIDATES = 8
-FRESH_LIMIT = 256
+MAX_FREED_WORKERS = 256
 
 
 class Shape:
@@ -24,8 +24,8 @@
         "blocked",
         "buckets",
         "demand",
-        "fresh",
-        "known",
+        "freed",
+        "known_buckets",
         "overflow",
         "scanned",
         "scanning",
@@ -36,8 +36,8 @@
         self.demand = demand
         self.users = 0
         self.buckets = []
-        self.known = 0
-        self.fresh = {}
+        self.known_buckets = 0
+        self.freed = {}
         self.restart()
 
     def restart(self):
@@ -45,7 +45,7 @@
         self.scanned = 0
         self.scanning = False
         self.overflow = False
-        self.fresh.clear()
+        self.freed.clear()
         self.blocked = False
 
 
@@ -53,33 +53,33 @@
 # compare in place; a call to ``resources.fits`` for each worker doubles a tick.
 
 
-def refresh(shape, grown):
+def refresh(shape, freed_workers):
     """Note which of the workers that have gained room have room for a shape."""
-    if len(grown) > FRESH_LIMIT:
+    if len(freed_workers) > MAX_FREED_WORKERS:
         shape.restart()
         return
     cpu_millis, memory_mb, accelerators = shape.demand
-    fresh = shape.fresh
-    for worker in grown:
+    freed = shape.freed
+    for worker in freed_workers:
         cpu, memory, idle = worker.free
         if cpu_millis <= cpu and memory_mb <= memory and accelerators <= idle:
-            fresh[worker] = None
-    shape.blocked = shape.blocked and not fresh
-    while len(fresh) > FRESH_LIMIT:
-        fresh.popitem()
+            freed[worker] = None
+    shape.blocked = shape.blocked and not freed
+    while len(freed) > MAX_FREED_WORKERS:
+        freed.popitem()
         shape.overflow = True
 
 
-def search_fresh(shape):
+def search_freed(shape):
     """Return fresh workers with room, and forget those without."""
     cpu_millis, memory_mb, accelerators = shape.demand
-    fresh, found = shape.fresh, []
-    while fresh and len(found) < CANDIDATES:
-        worker, _ = fresh.popitem()
+    freed, found = shape.freed, []
+    while freed and len(found) < CANDIDATES:
+        worker, _ = freed.popitem()
         cpu, memory, idle = worker.free
         fits = cpu_millis <= cpu and memory_mb <= memory and accelerators <= idle
         if fits and worker.bucket is not None:
             found.append(worker)
     for worker in found:
-        fresh[worker] = None
+        freed[worker] = None
     return found
--- a/alderreach/decisions/state.py
+++ b/alderreach/decisions/state.py
@@ -40,7 +40,7 @@
         self.plan_at_ms = 0
         self._reviews = []
         self._sequence = itertools.count()
-        self._homeless = {}
+        self._runs_without_worker = {}
         self._orphans = {}
         self._uncertain = collections.Counter()
 
@@ -73,8 +73,8 @@
         number = job.next_task()
         attempt = job.attempts.pop(number, 0) + 1
         run = jobs.Run(job, number, attempt, worker.worker_id, self.now_ms)
-        self._count(run, worker)
-        self._settle_in(worker, run)
+        self._charge_run(run, worker)
+        self._attach(worker, run)
         if not job.waiting or (job.limit and len(job.runs) >= job.limit):
             self.backlog.remove(job)
         self.decisions.append(
@@ -84,11 +84,11 @@
         )
         return run
 
-    def stop(self, run, how="stop", first=False):
+    def stop(self, run, stop_kind="stop", first=False):
         """Queue a stop of a run, once; ``first`` goes before a cancellation wave."""
         if run.stop:
             return
-        run.stop = how
+        run.stop = stop_kind
         if first:
             self.stops.appendleft(run)
         else:
@@ -102,12 +102,12 @@
             job.claim(number)
         run = jobs.Run(job, number, attempt, worker_id, self.now_ms)
         worker = self.cell.workers.get(worker_id)
-        self._count(run, worker)
+        self._charge_run(run, worker)
         if worker is None:
-            self._homeless.setdefault(worker_id, {})[run] = None
+            self._runs_without_worker.setdefault(worker_id, {})[run] = None
         else:
             self.cell.charge(worker, job.spec.task)
-            self._settle_in(worker, run)
+            self._attach(worker, run)
         if job.cancelled or number >= job.spec.tasks:
             self.stop(run)
         if job.is_gang() and job.waiting:
@@ -126,7 +126,7 @@
                 worker.pinned = resources.minus(worker.pinned, job.spec.task)
             self.cell.give_back(worker, job.spec.task)
         else:
-            self._forget_homeless(run)
+            self._forget_run_without_worker(run)
         if job.is_service():
             _decrease(job.workers_used, run.worker_id)
             _decrease(job.racks_used, run.rack)
@@ -139,9 +139,9 @@
         """Take up a worker with the runs that are known to be on it."""
         self.remove_worker(worker_id)
         worker = self.cell.add(worker_id, vm, rack, capacity)
-        for run in self._homeless.pop(worker_id, ()):
+        for run in self._runs_without_worker.pop(worker_id, ()):
             self.cell.charge(worker, run.job.spec.task)
-            self._settle_in(worker, run)
+            self._attach(worker, run)
         worker.uncertain = self._uncertain[worker_id]
         self.cell.reconsider(worker)
         return worker
@@ -153,20 +153,20 @@
             return
         self.cell.remove(worker)
         if worker.tasks:
-            self._homeless[worker_id] = worker.tasks
+            self._runs_without_worker[worker_id] = worker.tasks
 
     def add_orphan(self, job_id, number, attempt, worker_id):
         """Note a run of a job that is not known yet."""
         orphans = self._orphans.setdefault(job_id, {})
         if number not in orphans:
             orphans[number] = (worker_id, attempt)
-            self._mark_uncertain(worker_id, 1)
+            self._change_uncertain(worker_id, 1)
 
     def adopt_orphans(self, job):
         """Take up the runs that were waiting for a job to be known."""
         orphans = self._orphans.pop(job.spec.job_id, {})
         for number, (worker_id, attempt) in orphans.items():
-            self._mark_uncertain(worker_id, -1)
+            self._change_uncertain(worker_id, -1)
             self.adopt(job, number, attempt, worker_id)
 
     def end_orphan(self, job_id, number):
@@ -174,11 +174,11 @@
         orphans = self._orphans.get(job_id, {})
         if number in orphans:
             worker_id, _ = orphans.pop(number)
-            self._mark_uncertain(worker_id, -1)
+            self._change_uncertain(worker_id, -1)
         if not orphans:
             self._orphans.pop(job_id, None)
 
-    def _count(self, run, worker):
+    def _charge_run(self, run, worker):
         job = run.job
         job.runs[run.number] = run
         if worker is not None:
@@ -191,7 +191,7 @@
         if not job.is_urgent():
             self.normal_used = resources.plus(self.normal_used, job.spec.task)
 
-    def _settle_in(self, worker, run):
+    def _attach(self, worker, run):
         job = run.job
         worker.tasks[run] = None
         if job.pins():
@@ -201,16 +201,16 @@
             _increase(job.racks_used, worker.rack)
         run.rack = worker.rack
 
-    def _forget_homeless(self, run):
-        runs = self._homeless.get(run.worker_id)
+    def _forget_run_without_worker(self, run):
+        runs = self._runs_without_worker.get(run.worker_id)
         if runs is None:
             return
         runs.pop(run, None)
         if not runs:
-            del self._homeless[run.worker_id]
+            del self._runs_without_worker[run.worker_id]
 
-    def _mark_uncertain(self, worker_id, by):
-        self._uncertain[worker_id] += by
+    def _change_uncertain(self, worker_id, change):
+        self._uncertain[worker_id] += change
         if not self._uncertain[worker_id]:
             del self._uncertain[worker_id]
         worker = self.cell.workers.get(worker_id)
@@ -219,7 +219,7 @@
             self.cell.reconsider(worker)
 
 
-def status(job, state, reason):
+def job_status(job, state, reason):
     """Return a job's counts as a ``common.JobStatus``, without epoch and time."""
     return common.JobStatus(
         job.spec.job_id, state, reason, len(job.runs), job.finished, job.failed, 0, 0
--- a/alderreach/decisions/usage.py
+++ b/alderreach/decisions/usage.py
@@ -29,19 +29,19 @@
 from alderreach.decisions import preemption, resources
 
 # Ten heartbeats: a report is later than the tasks that it is held against.
-LAG_MS = 10_000
-ENOUGH_REPORTS = 30
+MAX_REPORT_LAG_MS = 10_000
+MIN_REPORTS = 30
 MARGIN = 0.25
 # A peak is forgotten by half in about 70 reports.
 DECAY = 0.01
 # Declared sizes are up to ten times off.
-LEAST_SHARE = 0.1
+MIN_SHARE = 0.1
 # Excess that changes by less is not worth indexing a worker anew.
-STEP = 0.02
-RELIEF_AT = 0.95
-RELIEF_EVERY_MS = 10_000
+MIN_EXCESS_CHANGE = 0.02
+RELIEF_THRESHOLD = 0.95
+RELIEF_INTERVAL_MS = 10_000
 # Above all priorities, so that any work that isn't urgent may give way.
-ANY_PRIORITY = 10
+ABOVE_ALL_PRIORITIES = 10
 
 
 class Record:
@@ -60,15 +60,15 @@
     def __init__(self, state):
         self._state = state
         self._records = {}
-        self._relieved_ms = {}
-        self._believed = set()
+        self._next_relief_ms = {}
+        self._trusted = set()
 
-    def given_to(self, spec):
+    def with_learned_size(self, spec):
         """Return a job with the size that its tasks are given."""
         record = self._records.get((spec.team, spec.workload))
-        if record is None or record.reports < ENOUGH_REPORTS or not spec.workload:
+        if record is None or record.reports < MIN_REPORTS or not spec.workload:
             return spec
-        share = max(LEAST_SHARE, record.share * (1 + MARGIN))
+        share = max(MIN_SHARE, record.share * (1 + MARGIN))
         if share >= 1:
             return spec
         cpu_millis = max(1, int(spec.task.cpu_millis * share))
@@ -78,38 +78,38 @@
         """Take in the usage that a worker reports."""
         given = resources.minus(worker.capacity, worker.free)
         given = resources.minus(given, worker.excess)
-        if not self._is_believed(worker, usage, given):
+        if not self._is_trusted(worker, usage, given):
             return
-        self._keep_excess(worker, usage, given)
+        self._update_excess(worker, usage, given)
         self._learn(worker, usage)
-        if resources.share(usage, worker.capacity) >= RELIEF_AT:
+        if resources.share(usage, worker.capacity) >= RELIEF_THRESHOLD:
             self._relieve(worker, usage, given)
 
     def forget(self, worker_id):
         """A worker is gone."""
-        self._relieved_ms.pop(worker_id, None)
-        self._believed.discard(worker_id)
+        self._next_relief_ms.pop(worker_id, None)
+        self._trusted.discard(worker_id)
 
-    def _is_believed(self, worker, usage, given):
+    def _is_trusted(self, worker, usage, given):
         over = resources.share(resources.minus(usage, given), worker.capacity)
-        if over <= STEP:
-            self._believed.add(worker.worker_id)
-        return worker.worker_id in self._believed
+        if over <= MIN_EXCESS_CHANGE:
+            self._trusted.add(worker.worker_id)
+        return worker.worker_id in self._trusted
 
-    def _keep_excess(self, worker, usage, given):
+    def _update_excess(self, worker, usage, given):
         over = common.Resources(
             max(0, usage.cpu_millis - given.cpu_millis),
             max(0, usage.memory_mb - given.memory_mb),
             0,
         )
         change = resources.minus(over, worker.excess)
-        if resources.share(map(abs, change), worker.capacity) < STEP:
+        if resources.share(map(abs, change), worker.capacity) < MIN_EXCESS_CHANGE:
             return
         worker.excess = over
         self._state.cell.give_back(worker, resources.minus(resources.NOTHING, change))
 
     def _learn(self, worker, usage):
-        old_ms = self._state.now_ms - LAG_MS
+        old_ms = self._state.now_ms - MAX_REPORT_LAG_MS
         runs = [run for run in worker.tasks if run.started_ms <= old_ms]
         given = sum(run.job.spec.task.cpu_millis for run in runs)
         if not given:
@@ -118,21 +118,23 @@
         for job in dict.fromkeys(run.job for run in runs):
             if job.spec.workload and job.declared.cpu_millis:
                 scale = job.spec.task.cpu_millis / job.declared.cpu_millis
-                self._note((job.spec.team, job.spec.workload), share * scale)
+                self._record_share((job.spec.team, job.spec.workload), share * scale)
 
-    def _note(self, key, share):
+    def _record_share(self, key, share):
         record = self._records.setdefault(key, Record())
         record.reports += 1
-        faded = record.share + (share - record.share) * DECAY
-        record.share = max(share, faded)
+        decayed = record.share + (share - record.share) * DECAY
+        record.share = max(share, decayed)
 
     def _relieve(self, worker, usage, given):
         if resources.fits(usage, given):
             return
         now_ms = self._state.now_ms
-        if now_ms < self._relieved_ms.get(worker.worker_id, 0):
+        if now_ms < self._next_relief_ms.get(worker.worker_id, 0):
             return
-        run = preemption.cheapest_checkpoint(self._state, worker, ANY_PRIORITY)
+        run = preemption.cheapest_checkpointable(
+            self._state, worker, ABOVE_ALL_PRIORITIES
+        )
         if run is not None:
-            self._relieved_ms[worker.worker_id] = now_ms + RELIEF_EVERY_MS
-            preemption.displace(self._state, run)
+            self._next_relief_ms[worker.worker_id] = now_ms + RELIEF_INTERVAL_MS
+            preemption.preempt(self._state, run)
