--- a/alderreach/decisions/preemption.py
+++ b/alderreach/decisions/preemption.py
@@ -1,28 +1,29 @@
-"""Urgent work takes the place of normal work when the cell is full.
+"""Preempts normal tasks for urgent work when the cell is full.
 
-Load: a closure plan or a morning's kitchen run is handed in while the cell is full of
-batch work that runs for hours. Without preemption it waits for hours; with preemption
-that knows no measure, a stream of urgent work throws the same tasks out again and
-again, and none of them ever ends.
+Without preemption, urgent work such as a closure plan or a morning's kitchen run waits
+for hours while the cell is full of long batch work. With unlimited preemption, a stream
+of urgent work stops the same tasks again and again, and none of them ever finishes.
 
-Of a random window of workers, those are chosen where room costs least: tasks that can
-checkpoint before those that lose their work, low priority before high, recent before
-long-running, batch before services, and gangs last, since all of a gang stops with one
-of its tasks. The room is reserved for the urgent line until its victims have ended.
+Victims are chosen on a random window of workers, where freeing capacity costs least:
+tasks that can checkpoint before those that lose their work, low priority before high,
+recent before long-running, batch before services, and gangs last, since a gang stops as
+a whole with any of its tasks. The freed capacity is reserved for the urgent line until
+the victims have ended.
 
-Floors against thrash: a task gives way ``PREEMPTIONS_ALLOWED`` times, then it runs to
-its end; and normal work as a whole is never pushed below ``NORMAL_FLOOR`` of the cell.
+Two limits prevent thrashing: a task is preempted at most ``PREEMPTIONS_ALLOWED`` times
+and then runs to its end, and preemption stops once normal work as a whole holds no more
+than ``NORMAL_FLOOR`` of the cell.
 """
 
 from alderreach.decisions import draining, reservations, resources
 
 PREEMPTIONS_ALLOWED = 3
 NORMAL_FLOOR = 0.1
-# Tasks of one line that room is made for in one tick, which bounds the tick.
+# Bounds the time of a tick: tasks of one line that capacity is freed for in one tick.
 MAX_TASKS_PER_TICK = 128
 MIN_WORKERS_EXAMINED = 64
 WORKERS_EXAMINED_PER_TASK = 4
-# In units of one step of priority.
+# Costs are in units of one priority level.
 COST_LOST_WORK = 10
 COST_SERVICE = 30
 COST_GANG_TASK = 10
@@ -32,7 +33,7 @@
 
 
 def plan(state, lines):
-    """Make room for the urgent lines that found none."""
+    """Free capacity for the urgent lines that found none."""
     for line in lines:
         if resources.share(state.normal_used, state.cell.total) <= NORMAL_FLOOR:
             return
@@ -65,7 +66,7 @@
 
 
 def _tasks_needed(state, line):
-    """Return for how many tasks of a line room should be made now."""
+    """Return how many tasks of a line need capacity freed for them now."""
     account = state.ledger.account(line.team)
     left = resources.minus(account.quota, account.used)
     allowed = resources.copies(line.demand, left)
@@ -85,7 +86,7 @@
 
 
 def _options(state, line, need):
-    """Return (cost, order, worker, copies, victims) by the cost of a copy."""
+    """Return (cost, order, worker, copies, victims) tuples, by the cost per copy."""
     window = max(MIN_WORKERS_EXAMINED, WORKERS_EXAMINED_PER_TASK * need)
     workers = [
         worker
@@ -105,7 +106,7 @@
 
 
 def _choose_victims(state, worker, line, wanted):
-    """Return how many copies fit, at what cost, and whom it displaces."""
+    """Return how many copies fit, the cost, and the runs to preempt for them."""
     runs = [run for run in worker.tasks if may_preempt(run, line.priority)]
     runs.sort(key=lambda run: (_cost(state, run), -run.started_ms, run.number))
     demand, free = line.demand, worker.free
@@ -122,7 +123,7 @@
 
 
 def may_preempt(run, priority):
-    """Whether a run may be stopped for work of an urgent priority."""
+    """Whether a run may be stopped for urgent work of a given priority."""
     job = run.job
     if run.stop or job.is_urgent() or job.spec.priority >= priority:
         return False
@@ -130,7 +131,7 @@
 
 
 def cheapest_checkpointable(state, worker, priority):
-    """Return the task that gives way at the least cost, None if none can checkpoint."""
+    """Return the run that is cheapest to preempt, None if none can checkpoint."""
     runs = [
         run
         for run in worker.tasks
@@ -159,7 +160,7 @@
 
 
 def preempt(state, run):
-    """Let a run give way, by a checkpoint if it can."""
+    """Stop a run for other work, with a checkpoint if it supports one."""
     job = run.job
     job.preempted[run.number] = job.preempted.get(run.number, 0) + 1
     state.stop(run, run.gentlest_stop(), first=True)
--- a/alderreach/decisions/quarantine.py
+++ b/alderreach/decisions/quarantine.py
@@ -1,44 +1,44 @@
-"""A worker that fails what it starts gets no more work until it is proved well.
-
-Load: a worker with a full disk fails each task within a second. Since it is always
-empty, it is the first choice for the next task; it fails hundreds of tasks a minute
-and uses up the retries of every job in the cell. Taken for bad by its count of failures
-alone, healthy workers that happen to run a broken job would be shut out one by one.
-
-The failures on a worker since its last success are weighed by how unlikely they were:
-for each job, by its record on all other workers, through the rule of succession (the
-chance of failure is ``(f + PRIOR_FAILURES) / (n + 1)`` after ``f`` failures in ``n``
-ends). A job that fails everywhere adds next to nothing, wherever it goes; one that
-never fails but here counts much; of an unknown job, many failures count little more
-than the first. At ``SUSPICION_LIMIT`` the worker is quarantined, and the failures it
-caused are taken off its jobs' records.
-
-After ``PROBE_AFTER_MS`` a quarantined worker is probed with one task at a time; success
-releases it, failure doubles the wait. Where only gangs wait it is released unproved.
-No more than ``QUARANTINED_SHARE`` of the workers are shut out: if more seem bad, it is
-not the workers.
+"""Quarantines workers on which tasks fail more often than on others.
+
+A worker with a full disk fails each task within a second. Since it is always empty, it
+is the first choice for the next task: it fails hundreds of tasks a minute and uses up
+the retries of every job in the cell. A bare count of failures per worker would instead
+quarantine healthy workers that happen to run a broken job, one after another.
+
+The failures on a worker since its last success are therefore weighed by how unlikely
+they were: for each job, by its record on all other workers, with the rule of succession
+(the probability of a failure is ``(f + PRIOR_FAILURES) / (n + 1)`` after ``f`` failures
+in ``n`` ends). A job that fails everywhere adds next to nothing on any worker; one that
+fails only here adds much; of an unknown job, many failures add little more than the
+first. At ``SUSPICION_LIMIT`` the worker is quarantined, and the failures that it caused
+are removed from the records of their jobs.
+
+After ``PROBE_AFTER_MS`` a quarantined worker is probed with one task at a time. A
+success releases it, a failure doubles the delay until the next probe. Where only gangs
+wait, it is released without a probe. At most ``MAX_QUARANTINED_SHARE`` of the workers
+are quarantined: if more are suspected, the workers are not the cause.
 """
 
 import heapq
 import math
 
-# Odds of a thousand to one that a worker like its peers would have failed the same.
+# A worker like its peers would fail in this way with odds of one to a thousand.
 SUSPICION_LIMIT = math.log(1000)
-# Failures further apart than this are not one fault.
+# Failures that are further apart than this do not have one common cause.
 FAILURE_WINDOW_MS = 600_000
 PROBE_AFTER_MS = 30_000
 MAX_PROBE_WAIT_MS = 600_000
 MAX_PROBES_PER_TICK = 4
 MAX_QUARANTINED_SHARE = 0.25
-# A refusal says nothing of its job, so it counts as even odds.
+# A refusal tells nothing about its job, so it counts as even odds.
 REFUSAL_SUSPICION = math.log(2)
-# Of the jobs nothing is known of, this share is taken to be broken.
+# The share of jobs without a record that is assumed to be broken.
 PRIOR_FAILURES = 0.3
 MAX_JOBS_REMEMBERED = 32
 
 
 class Record:
-    """What speaks against one worker."""
+    """The failures on one worker since its last success, and its probe."""
 
     __slots__ = ("last_ms", "probe", "refused", "task_failures", "wait_ms")
 
@@ -51,7 +51,7 @@
 
 
 class WorkerQuarantine:
-    """Tells bad workers from bad jobs."""
+    """Distinguishes faulty workers from broken jobs."""
 
     def __init__(self, state):
         self._state = state
@@ -60,7 +60,7 @@
         self._scheduled_probes = []
 
     def on_finished(self, run):
-        """A task ended well: its worker is well."""
+        """Clear a worker's record, or release it if the task was its probe."""
         record = self._records.get(run.worker_id)
         if record is None:
             return
@@ -70,7 +70,7 @@
             self._release(run.worker_id)
 
     def on_failed(self, run, outcome):
-        """A task failed or was refused: weigh it against its worker."""
+        """Record a failed or refused task, and quarantine its worker at the limit."""
         record = self._records.setdefault(run.worker_id, Record())
         now_ms = self._state.now_ms
         if record.probe is run:
@@ -88,25 +88,26 @@
             self._quarantine(run.worker_id, record)
 
     def on_ended_otherwise(self, run):
-        """A task ended in a way that says nothing; a probe is tried again."""
+        """Handle an end that tells nothing about the worker; a probe is repeated."""
         record = self._records.get(run.worker_id)
         if record is not None and record.probe is run:
             self._schedule_probe(run.worker_id, record)
 
     def worker_added(self, worker):
-        """A worker was taken up; it starts with a clean record."""
+        """Give a new worker an empty record."""
         self._forget(worker.worker_id)
 
     def worker_removed(self, worker_id):
-        """A worker is gone."""
+        """Delete the record of a removed worker."""
         self._forget(worker_id)
 
     def start_probes(self, lines):
-        """Give quarantined workers whose wait is over one task each.
+        """Start one task on each quarantined worker whose probe is due.
 
-        ``lines()`` walks through what waits. Each probe walks anew, since the one
-        before may have taken the last task of a line or team: walked on, the walk
-        failed, and a worker found nothing of what another had been shown.
+        ``lines()`` iterates over the waiting lines. Each probe starts a new iteration,
+        since the previous one may have removed the last task of a line or team: a
+        shared iterator would fail then, and would not offer a worker the lines that
+        were tried for another.
         """
         left = MAX_PROBES_PER_TICK
         while (
@@ -135,7 +136,7 @@
         self._schedule_probe(worker_id, record)
 
     def _remove_from_job_records(self, record):
-        """Take the failures that the worker caused off its jobs' records."""
+        """Remove the failures that the worker caused from the records of its jobs."""
         for job, numbers in record.task_failures.items():
             job.ends -= len(numbers)
             job.failed_ends -= len(numbers)
@@ -166,10 +167,11 @@
             self._schedule_probe(worker_id, record)
 
     def _release_without_probe(self, worker, record):
-        """Let a worker out unproved, where only gangs could prove it well.
+        """Release a worker without a probe, where only gangs wait.
 
-        A gang is no probe. One that needs the worker would wait for ever where nothing
-        else is handed in. Should it still be bad, its next wait is twice as long.
+        A gang can't serve as a probe, and one that needs the worker would wait for ever
+        if nothing else is submitted. If the worker is still faulty, the delay until its
+        next probe is twice as long.
         """
         record.wait_ms = min(2 * record.wait_ms, MAX_PROBE_WAIT_MS)
         self._quarantined.discard(worker.worker_id)
@@ -200,7 +202,7 @@
 
 
 def suspicion(record):
-    """Return how unlikely the failures on a worker are if it is like its peers."""
+    """Return how unlikely a worker's failures are if it is like its peers (-log p)."""
     total = record.refused * REFUSAL_SUSPICION
     for job, numbers in record.task_failures.items():
         here = len(numbers)
--- a/alderreach/decisions/quotas.py
+++ b/alderreach/decisions/quotas.py
@@ -1,33 +1,34 @@
-"""Which team's work is placed next: weighted dominant-resource fairness under quotas.
+"""Decides which team's work is placed next: dominant-resource fairness under quotas.
 
-Load: up to 73 teams share the cell, and a few of them hand in most of the work. Placed
-in order of arrival, a team with a wave of a thousand jobs makes all others wait behind
-it; with fixed shares, the capacity of teams that sleep stays unused.
+Up to 73 teams share the cell, and a few of them submit most of the work. In order of
+arrival, one team's wave of a thousand jobs would delay all other teams; with fixed
+shares, the capacity of idle teams would stay unused.
 
 A team's *dominant share* is the largest of its shares of the cell's processors, memory
 and accelerators, divided by its weight. The team with the lowest share goes next, so
-that a team whose work needs much memory and one whose work needs processors are
-compared by what hurts the others. A share is only an order, never a limit: what idle
-teams leave is used by the rest and comes back to them by the order as soon as they
-hand in work. The quota is a limit: no placement takes a team above it.
+that a team that needs mostly memory and one that needs mostly processors are compared
+by the resource that limits the others. The share only determines the order; it is no
+limit: the others use what idle teams leave, and the order returns it to those teams as
+soon as they submit work. The quota is a limit: no placement takes a team above it.
 
 A team's own small tasks can keep its quota used up, so that its gang never fits under
-it. A line that has waited for quota for ``SAVE_AFTER_MS`` is saved for: the team's
-other normal work starts only if the saved amount stays free. Where the line then lacks
-room that nobody makes for it (``draining``), the saving ends, or all else of the team
-would stand still with it; the next one begins twice as late each time.
+it. After a line has waited for quota for ``SAVE_AFTER_MS``, quota is saved for it: the
+team's other normal work starts only if the saved amount stays free. If the line has the
+quota but lacks capacity, and no reservation provides it (``draining``), the saving
+ends, since it would otherwise block all other work of the team. Each such failure
+doubles the time until the next saving for the line.
 """
 
 from alderreach.decisions import resources
 
-# As long as a large task waits for room before a worker is drained for it.
+# The same time as a large task waits for capacity before a worker is drained for it.
 SAVE_AFTER_MS = 15_000
-# The latest is then eight minutes, against tasks that run for minutes.
+# Bounds the delay at eight minutes, as tasks run for minutes.
 MAX_DOUBLINGS = 5
 
 
 class Account:
-    """A team's quota, weight and what its tasks hold."""
+    """A team's quota and weight, and the resources that its tasks hold."""
 
     __slots__ = (
         "known",
@@ -58,14 +59,14 @@
         self.accounts = {}
 
     def account(self, team):
-        """Return a team's account, an empty one with no quota if it is unknown."""
+        """Return a team's account; an unknown team gets one without quota."""
         account = self.accounts.get(team)
         if account is None:
             account = self.accounts[team] = Account()
         return account
 
     def set_team(self, team):
-        """Take over a team's quota, weight and objective."""
+        """Set a team's quota, weight and objective."""
         account = self.account(team.name)
         account.known = True
         account.quota = team.quota
@@ -75,15 +76,15 @@
             account.saved_for = None
 
     def remove_team(self, name):
-        """Let nothing more of a team start; what runs stays on its account."""
+        """Start nothing more of a team; its running tasks stay on its account."""
         account = self.account(name)
         account.known = False
         account.quota = resources.NOTHING
 
     def allows(self, account, demand, line=None):
-        """Whether the quota has room for ``demand``, and for what is saved for others.
+        """Whether ``demand`` fits the quota beside what is saved for other lines.
 
-        Without a line, or for an urgent one, only the quota itself counts.
+        Without a line, or for an urgent one, saved quota is ignored.
         """
         wanted = resources.plus(account.used, demand)
         others = account.saved_for is not None and account.saved_for is not line
@@ -92,7 +93,7 @@
         return account.known and resources.fits(wanted, account.quota)
 
     def on_quota_used_up(self, account, line, demand, now_ms):
-        """Note that a line waits for quota; after a while it is saved for."""
+        """Record that a line waits for quota; save quota for it if that is due."""
         if line.quota_since_ms is None:
             line.quota_since_ms = now_ms
         after_ms = SAVE_AFTER_MS << min(line.vain_savings, MAX_DOUBLINGS)
@@ -106,12 +107,12 @@
             account.saved = demand
 
     def stop_saving(self, line):
-        """The line was served, or waits no more."""
+        """Stop saving for a line that was placed or no longer waits."""
         line.vain_savings = 0
         self._clear_saving(line)
 
     def abandon_saving(self, line):
-        """The line has the quota that was saved for it, and can't use it."""
+        """Stop saving for a line that has the quota but lacks capacity."""
         line.vain_savings += 1
         self._clear_saving(line)
 
@@ -122,16 +123,16 @@
             account.saved_for = None
 
     def charge(self, account, demand, total):
-        """Add to what a team holds; ``total`` is the cell's capacity."""
+        """Add to the resources that a team holds; ``total`` is the cell's capacity."""
         account.used = resources.plus(account.used, demand)
         account.share = dominant_share(account, total)
 
     def refund(self, account, demand, total):
-        """Take away from what a team holds."""
+        """Subtract from the resources that a team holds."""
         account.used = resources.minus(account.used, demand)
         account.share = dominant_share(account, total)
 
 
 def dominant_share(account, total):
-    """Return the largest share of any resource that a team holds, over its weight."""
+    """Return the largest share of a resource that a team holds, by its weight."""
     return resources.share(account.used, total) / account.weight
--- a/alderreach/decisions/reservations.py
+++ b/alderreach/decisions/reservations.py
@@ -1,33 +1,34 @@
-"""Workers kept free for who would else never find room.
+"""Keeps workers free for work that would otherwise never find enough capacity.
 
-Load: a gang, or a task as large as a worker, among a stream of small tasks that take
-each gap first; urgent work that has to wait for others to make way.
+That is a gang, or a task as large as a worker, among a stream of small tasks that fill
+each gap first; and urgent work that waits for preempted tasks to end.
 
-A reservation takes all its workers in one step, and only if they suffice once what may
-still run there has ended. So no reservation waits to grow while it holds something, and
-two of them can't wait for each other; and since its workers take no other work, each is
-served in the end. One that no longer suffices (a worker died) is given up whole; its
-gang, by then the oldest, is the next to get one.
+A reservation takes all its workers in one step, and only if they suffice once the tasks
+on them have ended. So no reservation holds workers while it waits for more, and two
+reservations can't deadlock; and since reserved workers take no other work, each
+reservation is served eventually. One that no longer suffices, because a worker was
+lost, is released in full; its gang, by then the oldest, is the next to get one.
 
 Waiting for the last task on a chosen worker to end takes as long as the longest task
-runs. So the oldest gang's reservation also keeps whatever room becomes free elsewhere,
+runs. So the oldest gang's reservation also keeps the capacity that is freed elsewhere,
 and the gang starts as soon as both together are enough.
 """
 
 from alderreach.decisions import gangs, resources
 
-# A stop that has not ended by then is the placer's to settle; the room goes back.
+# After this time the capacity is released; the placer handles stops that take longer.
 MAX_URGENT_HOLD_MS = 30_000
-# Searches for free room to keep in one try; each finds up to eight workers.
+# Searches for free capacity per attempt; each finds up to eight workers.
 MAX_CAPTURE_SEARCHES = 64
 
 
 class Reservation:
     """Workers kept for a gang, or for the waiting tasks of a line.
 
-    ``workers`` maps a worker to the copies it could take now and once it is drained;
-    ``ready`` and ``enough`` are their sums. ``promised`` counts the tasks to start on
-    each worker if the tasks needn't start together.
+    ``workers`` maps a worker to the copies that fit it now and once it is drained;
+    ``ready`` and ``expected`` are their sums. ``planned`` counts the tasks to start on
+    each worker if they needn't start together. ``fillers`` are the backfill runs, which
+    were started on reserved workers because they were declared to end in time.
     """
 
     __slots__ = (
@@ -61,7 +62,7 @@
 
 
 def reserve(state, line, job, workers, urgent=False):
-    """Keep workers for a gang or, if ``job`` is None, for tasks of a line."""
+    """Reserve workers for a gang or, if ``job`` is None, for tasks of a line."""
     reservation = Reservation(line, job, state.now_ms, urgent)
     state.reservations.append(reservation)
     if job is None:
@@ -80,7 +81,7 @@
 
 
 def release(state, reservation):
-    """Give up a reservation."""
+    """End a reservation and release its workers."""
     state.reservations.remove(reservation)
     if reservation.line.reservation is reservation:
         reservation.line.reservation = None
@@ -99,7 +100,7 @@
 
 
 def serve(state):
-    """Start what reserved room has become ready for; give up what can't be met."""
+    """Start what fits reserved capacity now; end reservations that can't be met."""
     for reservation in list(state.reservations):
         _update(state, reservation)
         if reservation.job is None:
@@ -141,10 +142,10 @@
 
 
 def _serve_gang_from_all(state, reservation):
-    """Start a gang on what is reserved and what is free elsewhere together.
+    """Start a gang on reserved workers and on free capacity elsewhere together.
 
-    If that isn't enough, the oldest reservation keeps what is free for itself, and
-    stops who still runs there on borrowed time if only their room is missing.
+    If that isn't enough, the oldest reservation also reserves the free capacity, and
+    stops its backfill runs if only their capacity is missing.
     """
     if reservation.retry_ms > state.now_ms:
         return
@@ -165,12 +166,12 @@
 
 
 def is_oldest(state, reservation):
-    """Whether no other gang has had a reservation for longer."""
+    """Whether no other gang's reservation is older."""
     return reservation is next(each for each in state.reservations if each.job)
 
 
 def _reserve_free_workers(state, reservation):
-    """Reserve the workers that have room for a task now, up to a number."""
+    """Reserve workers that fit a task now, in at most ``MAX_CAPTURE_SEARCHES``."""
     shape = reservation.line.shape
     for _ in range(MAX_CAPTURE_SEARCHES):
         if reservation.ready >= reservation.job.waiting or shape.blocked:
@@ -181,7 +182,7 @@
 
 
 def _copies_held_by_fillers(state, reservation):
-    """Return how many tasks more there were room for without those on borrowed time."""
+    """Return how many more tasks would fit if the backfill runs had ended."""
     demand = reservation.line.demand
     reservation.fillers = [
         run for run in reservation.fillers if run.job.runs.get(run.number) is run
@@ -199,7 +200,7 @@
 
 
 def needed_in_ms(state, reservation):
-    """Estimate after how long a reservation's room is needed, from its progress."""
+    """Estimate from its progress when a reservation will need its capacity."""
     drained_ms = reservation.needed_at_ms - state.now_ms
     if reservation.job is None or not reservation.ready:
         return drained_ms
@@ -244,7 +245,7 @@
 
 
 def _end_backfill(state, reservation):
-    """Stop what still runs on borrowed time."""
+    """Stop the backfill runs that have not ended."""
     for run in reservation.fillers:
         if run.job.runs.get(run.number) is run:
             run.job.overran = True
--- a/alderreach/decisions/resources.py
+++ b/alderreach/decisions/resources.py
@@ -12,22 +12,22 @@
 
 
 def plus(left, right):
-    """Sum of two amounts."""
+    """Return the sum of two amounts."""
     return common.Resources(left[0] + right[0], left[1] + right[1], left[2] + right[2])
 
 
 def minus(left, right):
-    """Difference of two amounts."""
+    """Return the difference of two amounts."""
     return common.Resources(left[0] - right[0], left[1] - right[1], left[2] - right[2])
 
 
 def times(amount, number):
-    """``number`` times an amount."""
+    """Return ``number`` times an amount."""
     return common.Resources(amount[0] * number, amount[1] * number, amount[2] * number)
 
 
 def copies(demand, free):
-    """How many tasks of ``demand`` go into ``free`` side by side.
+    """Return how many tasks of ``demand`` fit into ``free`` together.
 
     >>> copies(common.Resources(2, 1, 0), common.Resources(7, 9, 0))
     3
@@ -40,7 +40,7 @@
 
 
 def share(amount, whole):
-    """Return the largest share of ``whole`` that ``amount`` is, over its kinds.
+    """Return the largest share of ``whole`` that ``amount`` has in any kind.
 
     >>> share(common.Resources(1, 1, 0), common.Resources(10, 2, 0))
     0.5
@@ -50,7 +50,7 @@
 
 
 def describe(amount):
-    """One line for people, without the kinds that are zero."""
+    """Return an amount as text, without the kinds that are zero."""
     parts = [
         f"{number} {name}"
         for name, number in zip(amount._fields, amount, strict=True)
--- a/alderreach/decisions/retries.py
+++ b/alderreach/decisions/retries.py
@@ -1,12 +1,13 @@
-"""How often a request may be sent again, as a share of the requests that come in.
+"""Limits retries of requests to a share of the first attempts.
 
-Unlimited retries multiply the load on the targets that are left when some of them fail.
+Unlimited retries multiply the load on the remaining targets when some of them fail.
 
-A first attempt earns ``FAILED_SHARE`` of a retry after a failure and ``REFUSED_SHARE``
-of one after a refusal. A tenth more load is what runners at nine tenths of capacity can
-bear; a refusal costs a runner next to nothing, so half of the requests may meet one.
-The buckets hold ``BURST``, which lets a service with few requests retry at all. Nothing
-is tried more than ``MAX_ATTEMPTS`` times, and no failure is retried while others wait.
+Each first attempt earns ``FAILURE_RETRY_SHARE`` of a retry after a failure and
+``REFUSAL_RETRY_SHARE`` of a retry after a refusal. A tenth more load is what runners at
+nine tenths of capacity can bear; a refusal costs a runner next to nothing, so half of
+the requests may be retried after one. Both token buckets hold ``BURST``, so that a
+service with few requests can retry at all. A request gets at most ``MAX_ATTEMPTS``
+attempts, and no failure is retried while other requests wait.
 """
 
 FAILURE_RETRY_SHARE = 0.1
@@ -16,19 +17,19 @@
 
 
 class Budget:
-    """Retries that may be made now, of one service."""
+    """The token buckets for the retries of one service."""
 
     def __init__(self):
         self._failure_tokens = BURST
         self._refusal_tokens = BURST
 
     def earn(self):
-        """A first attempt was granted."""
+        """Add the retry tokens that a first attempt earns."""
         self._failure_tokens = min(BURST, self._failure_tokens + FAILURE_RETRY_SHARE)
         self._refusal_tokens = min(BURST, self._refusal_tokens + REFUSAL_RETRY_SHARE)
 
     def try_spend(self, attempt, was_refused, others_wait):
-        """Whether attempt number ``attempt`` may be made; takes it off the budget."""
+        """Return whether attempt ``attempt`` may be made, and spend its token if so."""
         if attempt > MAX_ATTEMPTS:
             return False
         if was_refused:
--- a/alderreach/decisions/rounds.py
+++ b/alderreach/decisions/rounds.py
@@ -1,12 +1,12 @@
-"""One round of placements: whose task is next, and where it goes.
+"""One round of placements: whose task is next, and which worker it gets.
 
-Load: a burst of many teams' work with a few teams sending most of it. Placed in order
-of arrival, the first wave fills the cell.
+When many teams submit work at once and a few of them submit most of it, placement in
+order of arrival would let the first wave fill the cell.
 
 Urgent work of all teams goes before normal work of any. Within each of these bands the
 team with the lowest dominant share goes next, and within the team the line with the
-highest priority that can run. A line that finds no room is passed over, not waited
-for; who is passed over for long gets a reservation (``draining``).
+highest priority that can run. A line that finds no capacity is skipped and doesn't
+delay the rest; one that has been skipped for long gets a reservation (``draining``).
 """
 
 import heapq
@@ -14,13 +14,14 @@
 
 from alderreach.decisions import gangs, placement, poison_jobs
 
-# A gang at the head that doesn't fit lets this many behind it try.
+# How many gangs at the front of a line are tried, so that one that doesn't fit blocks
+# none of those right behind it.
 MAX_GANGS_TRIED = 4
 SUSPECT_RETRY_MS = 1_000
 
 
 def place_band(state, band, budget):
-    """Place until the budget or the runnable work is used; returns what is left."""
+    """Place until the budget or the runnable work is used up; return the rest of it."""
     account_of = state.ledger.account
     teams = [(account_of(name).share, name) for name in band]
     heapq.heapify(teams)
@@ -40,12 +41,12 @@
 
 
 def stuck_lines(band):
-    """Return the lines of a band that wait for room or for quota."""
+    """Return the lines of a band that wait for capacity or for quota."""
     return [line for lines in band.values() for line in lines if line.is_stuck()]
 
 
 def blocked_lines(state, band):
-    """Return the lines of a band that wait for room, with the quota to use it."""
+    """Return the lines of a band that have quota and wait for capacity."""
     blocked = []
     for name, lines in band.items():
         account = state.ledger.account(name)
@@ -58,7 +59,7 @@
 
 
 def _next_runnable(state, lines, account):
-    """Return the first line that can run and its job, else a pair of None."""
+    """Return the first line that can run and its job, or two times None."""
     for line in lines:
         if line.shape.blocked:
             _mark_blocked(state, line)
@@ -77,8 +78,8 @@
 def _next_gang(state, line):
     """Return one of the first gangs that may be tried, else one further behind.
 
-    Of those behind, one is tried in ``gangs.RETRY_MS``, in turn: looked at from the
-    front only, they would wait for ever behind gangs that can't run yet.
+    Every ``gangs.RETRY_MS`` one of those behind is tried, in turn: if only the front
+    were tried, they would wait for ever behind gangs that can't run yet.
     """
     for job in itertools.islice(line.jobs.values(), MAX_GANGS_TRIED):
         if job.retry_ms <= state.now_ms:
@@ -114,7 +115,7 @@
 
 
 def _place_suspect(state, job, line):
-    """Place a job on probation where no other suspect runs, else let it pause."""
+    """Place a job on probation where no other suspect runs, else retry it later."""
     for worker in state.cell.index.search(line.shape, roomiest_first=True):
         if not poison_jobs.is_beside_suspect(worker):
             state.start(job, worker)
--- a/alderreach/decisions/routing.py
+++ b/alderreach/decisions/routing.py
@@ -1,21 +1,22 @@
-"""Which runner a request goes to, by what this entry alone knows.
-
-Several entries share runners of a few slots each without a central counter, and would
-otherwise meet on the runners that look idle to all of them.
-
-- Each entry has an allowance on each runner. On its own domain's it starts at the slots
-  divided by the entries of the domain: entries that keep to it never meet.
-- An allowance that is used in full without a refusal grows by ``GROWTH`` of a slot for
-  each round of answers, so that slots of idle entries are used.
-- A refusal leaves ``REFUSED_KEEPS`` of an allowance, but not less than it started with.
-  Below its share an entry only leaves slots idle.
-- Among runners with room the least used by allowance is taken, ties at random.
-- Other domains' runners get work once the own ones have no room and the request would
-  wait longer than ``SPILL_WAIT_MS``, one round trip between domains.
-- A runner of another domain that refuses is left alone for ``REMOTE_PAUSE_MS``: when
-  all domains are saturated, each would else spend its time on asking the others.
+"""Chooses a runner for each request, with only what this entry knows.
+
+Several entries share runners of a few slots each. Without a central counter, they would
+all choose the runners that look idle to all of them.
+
+- Each entry has an allowance on each runner. On a runner of its own domain it starts at
+  the slots divided by the domain's entries, so entries within it never collide.
+- An allowance that is used in full without a refusal grows by ``ALLOWANCE_GROWTH`` of a
+  slot per round of responses, so that slots of idle entries are used.
+- A refusal multiplies an allowance by ``REFUSAL_FACTOR``, but not below its starting
+  value: with less than its share, an entry would only leave slots idle.
+- Among runners with free allowance the one with the least of it in use is chosen, ties
+  at random.
+- Runners of other domains get work once the local ones have no free allowance and the
+  request would wait longer than ``SPILL_WAIT_MS``, one round trip between domains.
+- A runner of another domain that refuses gets no requests for ``REMOTE_PAUSE_MS``: when
+  all domains are saturated, each would otherwise spend its time on asking the others.
 - A runner that is slow or fails (``outliers``) is considered only as often as its
-  weight says, so that an idle bad runner can't attract the load.
+  weight says, so that an idle faulty runner can't attract the load.
 """
 
 import collections
@@ -30,7 +31,7 @@
 
 
 class Router:
-    """Runners of one service, and what this entry has under way at each.
+    """The runners of one service, and this entry's outstanding requests at each.
 
     ``entries_in_domain`` and ``entries_in_cell`` count this entry too.
     """
@@ -49,7 +50,7 @@
         self._paused_until_ms = {}
 
     def set_runners(self, runners):
-        """Know these runners and no others; a restarted one starts afresh."""
+        """Replace the known runners; a restarted one gets its starting allowance."""
         before, self._runners = self._runners, {r.runner_id: r for r in runners}
         for runner_id, runner in self._runners.items():
             old = before.get(runner_id)
@@ -64,21 +65,21 @@
 
     @property
     def usable(self):
-        """Ids of the runners that may get new work at all."""
+        """Ids of the runners that may get new requests."""
         return {runner.runner_id for runner in self._local + self._remote}
 
     def max_outstanding(self):
-        """The most this entry may have under way at all runners together."""
+        """Return how many requests this entry may have outstanding at all runners."""
         return sum(self._max_allowance(runner) for runner in self._local + self._remote)
 
     def total_allowance(self):
-        """Slots the allowances give this entry where it sends first."""
+        """Return the sum of the allowances on local runners, or on remote if none."""
         return self._total_allowance
 
     def pick(self, now_ms, wait_ms, avoided=()):
-        """The runner to send to, or None while there is no room.
+        """Return the runner to send to, None if no allowance is free.
 
-        ``wait_ms`` is how long the request would wait for a slot of its own domain.
+        ``wait_ms`` is how long the request would wait for a slot in this domain.
         """
         chosen = self._least_used(self._local, now_ms, avoided)
         if chosen is not None or not self._remote:
@@ -90,11 +91,11 @@
         return None
 
     def on_attempt_started(self, runner_id):
-        """A request was granted a runner."""
+        """Record that a request was granted a runner."""
         self._outstanding[runner_id] += 1
 
     def on_attempt_ended(self, runner_id, was_refused, was_answered, now_ms):
-        """An attempt at a runner has ended."""
+        """Record the end of an attempt, and adjust the runner's allowance."""
         used = self._outstanding[runner_id]
         if used <= 1:
             del self._outstanding[runner_id]
@@ -122,15 +123,15 @@
         return float(max(1, min(share, self._max_allowance(runner))))
 
     def _max_allowance(self, runner):
-        """Slots, and at most this entry's share of the runner's connections."""
+        """Return the slots, at most this entry's share of the runner's connections."""
         share = runner.connections // self._entries_in_cell
         return max(1, min(runner.slots, share))
 
     def _split_by_domain(self):
-        """Usable runners by place: ready ones, or suspect ones if no other is left.
+        """Divide the usable runners by domain: ready ones, else suspect ones.
 
-        All are suspect when the entry has lost their owner: then they may well be up,
-        and a domain that is cut off goes on serving.
+        All runners are suspect when the entry has lost contact with their owner. They
+        may well be up then, and a domain that is cut off continues to serve.
         """
         known = self._runners.values()
         usable = [r for r in known if r.state == READY]
--- a/alderreach/decisions/scheduler.py
+++ b/alderreach/decisions/scheduler.py
@@ -1,9 +1,9 @@
-"""Decides which task starts where: the one object that a placer drives.
+"""Decides which task starts where: the object that a placer drives.
 
-A placer feeds it with what it knows (teams, workers, jobs, what runs, what ended) and
-calls ``tick`` several times a second; the decisions come back as a list and count as
-carried out. The clock and the random generator are passed in, so that a session can be
-replayed.
+A placer passes in what it knows (teams, workers, jobs, running tasks, ends of tasks)
+and calls ``tick`` several times a second. ``tick`` returns a list of decisions, which
+count as carried out. The clock and the random generator are passed in, so that a
+session can be replayed.
 
 >>> import random
 >>> from alderreach.core.generated import common
@@ -11,10 +11,10 @@
 >>> scheduler.tick(0, 100)
 []
 
-Load: thousands of placements a second, and cancellations in waves of as many.
-``budget`` bounds the work of one tick, whatever is waiting: each search, start and stop
-costs one of it. Stops get at most half, so that a wave of cancellations can't keep new
-work waiting; only a gang, which is never cut, may exceed it.
+It has to make thousands of placements a second, and as many cancellations in waves.
+``budget`` bounds the work of one tick, however much is waiting: each search, start and
+stop uses one unit of it. Stops get at most half of it, so that a wave of cancellations
+can't delay new work; only a gang, which is always placed as a whole, may exceed it.
 """
 
 import collections
@@ -42,7 +42,7 @@
 Impossible = actions.Impossible
 
 MAX_REVIEWS_PER_TICK = 64
-# Ended jobs whose status can still be asked for.
+# Ended jobs whose status can still be queried.
 MAX_STATUSES_KEPT = 10_000
 
 
@@ -58,7 +58,7 @@
         self._done = collections.OrderedDict()
 
     def set_team(self, team):
-        """Take over a ``common.Team``."""
+        """Add or replace a ``common.Team``."""
         self._state.ledger.set_team(team)
         self._parking.supply_changed()
 
@@ -67,7 +67,7 @@
         self._state.ledger.remove_team(name)
 
     def add_worker(self, worker_id, vm, rack, capacity):
-        """Take up a worker, with the tasks that are known to run on it."""
+        """Add a worker, with the tasks that are known to run on it."""
         known = self._state.cell.workers.get(worker_id)
         if known is not None and known.capacity == capacity:
             return
@@ -76,21 +76,21 @@
         self._parking.supply_changed()
 
     def remove_worker(self, worker_id):
-        """Forget a worker; its tasks are reported as lost one by one."""
+        """Remove a worker; its tasks are reported as lost one by one."""
         self._state.remove_worker(worker_id)
         self._quarantine.worker_removed(worker_id)
         self._poison_jobs.worker_removed(worker_id)
         self._observer.forget(worker_id)
 
     def set_open(self, worker_id, is_open):
-        """Let a worker take new work or not."""
+        """Set whether a worker takes new work."""
         worker = self._state.cell.workers.get(worker_id)
         if worker is not None and worker.is_open != is_open:
             worker.is_open = is_open
             self._state.cell.reconsider(worker)
 
     def submit(self, job, now_ms):
-        """Let a job wait; a service submitted again takes the new number of tasks."""
+        """Add a job; a service that is submitted again gets the new number of tasks."""
         self._state.now_ms = now_ms
         known = self._state.jobs.get(job.job_id)
         if known is not None:
@@ -98,13 +98,13 @@
             return
         if job.job_id in self._done:
             return
-        given = self._observer.with_learned_size(job)
-        waiting = self._state.jobs[job.job_id] = jobs.JobState(given, job.task)
-        self._state.adopt_orphans(waiting)
-        self._parking.admit(waiting)
+        sized = self._observer.with_learned_size(job)
+        job_state = self._state.jobs[job.job_id] = jobs.JobState(sized, job.task)
+        self._state.adopt_orphans(job_state)
+        self._parking.admit(job_state)
 
     def cancel(self, job_id, now_ms):
-        """Let nothing more of a job start; its running tasks are stopped."""
+        """Start nothing more of a job, and stop its running tasks."""
         self._state.now_ms = now_ms
         job = self._state.jobs.get(job_id)
         if job is None or job.cancelled:
@@ -118,12 +118,12 @@
         self._close_if_done(job)
 
     def restore(self, task_id, attempt, job_id, worker_id):
-        """Take up a task that is known to run.
+        """Add a task that is known to run.
 
-        While its job is unknown, so is what it holds: its worker takes no work until
-        the job is submitted or the task has ended.
+        While its job is unknown, so are the resources that it holds: its worker takes
+        no work until the job is submitted or the task has ended.
         """
-        number = _number(task_id)
+        number = _task_number(task_id)
         job = self._state.jobs.get(job_id)
         if job is None:
             self._state.add_orphan(job_id, number, attempt, worker_id)
@@ -131,32 +131,32 @@
             self._state.adopt(job, number, attempt, worker_id)
 
     def losses_of(self, job_id):
-        """Return how often tasks, by number, were lost soon after their start."""
+        """Return by task number how often tasks were lost soon after their start."""
         job = self._state.jobs.get(job_id)
         return dict(job.losses) if job else {}
 
     def restore_losses(self, job_id, losses):
-        """Take up what ``losses_of`` gave an earlier owner, or an empty dict."""
+        """Restore what ``losses_of`` returned to an earlier owner, or an empty dict."""
         job = self._state.jobs.get(job_id)
         if job is not None and losses:
             endings.restore_losses(self._state, job, losses)
             self._close_if_done(job)
 
     def task_started(self, task_id, now_ms):
-        """Note that a worker has taken a task; its run time counts from here."""
+        """Record that a worker has started a task; its run time counts from now."""
         self._state.now_ms = now_ms
         job = self._state.jobs.get(_job_id(task_id))
-        run = job and job.runs.get(_number(task_id))
+        run = job and job.runs.get(_task_number(task_id))
         if run:
             run.started_ms = now_ms
 
     def task_ended(self, task_id, attempt, outcome, now_ms):
-        """Note how an attempt ended; it surely no longer runs.
+        """Record how an attempt ended; it must no longer run.
 
         ``outcome`` is finished, failed, lost, refused, stopped or checkpointed.
         """
         self._state.now_ms = now_ms
-        number = _number(task_id)
+        number = _task_number(task_id)
         job = self._state.jobs.get(_job_id(task_id))
         if job is None:
             self._state.end_orphan(_job_id(task_id), number)
@@ -169,13 +169,13 @@
         self._close_if_done(job)
 
     def observe_usage(self, worker_id, used):
-        """Take in what a worker reports, with a lag, that its tasks use."""
+        """Record the usage of its tasks that a worker reports, with a lag."""
         worker = self._state.cell.workers.get(worker_id)
         if worker is not None:
             self._observer.observe(worker, used)
 
     def tick(self, now_ms, budget):
-        """Return the next decisions, about ``budget`` of them."""
+        """Return the next decisions, at most about ``budget`` of them."""
         cell_state = self._state
         cell_state.now_ms = now_ms
         cell_state.decisions = decisions = []
@@ -204,7 +204,7 @@
         return state.job_status(job, "waiting", self._why_waiting(job))
 
     def allocated(self, worker_id):
-        """Return what is given out on a worker."""
+        """Return the resources that are allocated on a worker."""
         worker = self._state.cell.workers.get(worker_id)
         if worker is None:
             return resources.NOTHING
@@ -240,7 +240,7 @@
         backfill.fill(cell_state, rounds.blocked_lines(cell_state, band))
 
     def _plan_ahead(self):
-        """Reserve room for who is passed over; park who can't run at all."""
+        """Reserve capacity for skipped lines, and park jobs that can't run at all."""
         cell_state = self._state
         for band in cell_state.backlog.bands:
             self._parking.check_lines(rounds.stuck_lines(band))
@@ -297,5 +297,5 @@
     return task_id.rpartition("/")[0]
 
 
-def _number(task_id):
+def _task_number(task_id):
     return int(task_id.rpartition("/")[2])
--- a/alderreach/decisions/search.py
+++ b/alderreach/decisions/search.py
@@ -1,19 +1,18 @@
-"""Finds workers with room for a task at a cost that doesn't grow with the cell.
+"""Finds workers with capacity for a task, at a cost independent of the cell's size.
 
-Load: thousands of placements a second while ten thousand workers fill and empty. A
-scan of all workers for each task costs milliseconds at that size, and the queue grows
-faster than it is served.
+The cell makes thousands of placements a second while ten thousand workers fill and
+empty. A scan of all workers for each task takes milliseconds at that size, so the queue
+would grow faster than it is served.
 
 Workers with about the same free capacity share a *bucket*. A search walks the buckets
-that can hold the demand, tightest first, and looks at ``SAMPLES_PER_BUCKET`` workers of
-each until it has a few candidates. The number of buckets follows from the sizes that
-workers come in, not from how many there are.
-
-A search that samples in vain must not miss a worker with room. It looks at all workers
-of its buckets if they are few, and else reads on through all workers, ``SCAN_LIMIT``
-per call. From then on it looks only at workers that have gained room since, see
-``shapes``.
-``docs/measurements/placement.md`` has the sweeps.
+that can hold the demand, tightest first, and samples ``SAMPLES_PER_BUCKET`` workers of
+each until it has a few candidates. The number of buckets depends on the sizes of the
+workers, not on their number.
+
+A search whose samples all fail must not miss a worker with enough capacity. If its
+buckets hold few workers, it checks all of them, else it scans all workers of the cell,
+``SCAN_LIMIT`` per call. After that it checks only workers with capacity freed since
+then (``shapes``). ``docs/measurements/placement.md`` compares values of the constants.
 """
 
 import bisect
@@ -25,14 +24,14 @@
 
 SAMPLES_PER_BUCKET = 4
 SCAN_LIMIT = 256
-# Workers with more free accelerators than this share a level.
+# Workers with at least this many free accelerators share a level.
 ACCELERATOR_LEVELS = 16
-# More than the 73 teams' workloads that are active together; about 5 KB each.
+# More than the workloads of 73 teams that are active together; about 5 KB each.
 MAX_IDLE_SHAPES = 512
 
 
 class Bucket(typing.NamedTuple):
-    """Workers with about the same free capacity, and its levels."""
+    """Workers with about the same free capacity, and the levels of that capacity."""
 
     accelerators: int
     cpu: int
@@ -41,7 +40,7 @@
 
 
 class Index:
-    """The workers that take work, by what they have free."""
+    """The workers that take work, by their free capacity."""
 
     def __init__(self, random):
         self._random = random
@@ -53,20 +52,20 @@
         self._freed = {}
 
     def add(self, worker):
-        """Take up a worker."""
+        """Add a worker."""
         worker.order = len(self._order)
         self._order.append(worker)
         self.mark_freed(worker)
 
     def remove(self, worker):
-        """Forget a worker, which takes no work any more."""
+        """Remove a worker, which takes no more work."""
         self.mark_freed(worker)
         last = self._order.pop()
         if last is worker:
             return
         self._order[worker.order] = last
         last.order = worker.order
-        # A scan that has passed this place would miss the worker moved here.
+        # A scan that is already past this index would miss the worker moved here.
         if last.bucket is not None:
             self._freed[last] = None
 
@@ -84,7 +83,7 @@
         bucket.workers.append(worker)
 
     def mark_freed(self, worker):
-        """Move a worker that may have gained room, and remember that it has."""
+        """Move a worker that may have freed capacity, and record it for ``refresh``."""
         self.move(worker)
         if worker.bucket is None:
             self._freed.pop(worker, None)
@@ -92,7 +91,7 @@
             self._freed[worker] = None
 
     def undo(self, shape, worker):
-        """Move a worker whose room was tried for a shape and given back."""
+        """Move a worker whose capacity was taken for a shape and returned unused."""
         self.move(worker)
         if worker.bucket is not None:
             shape.freed[worker] = None
@@ -109,10 +108,10 @@
         return shape
 
     def release_shape(self, shape):
-        """Set the search state aside with its last user.
+        """Cache the search state when its last user releases it.
 
-        A stream of single tasks opens and closes its line with each of them; sorting
-        the buckets anew each time would cost more than the search.
+        A stream of single tasks opens and closes its line with each task; sorting the
+        buckets again each time would cost more than the search.
         """
         shape.users -= 1
         if shape.users:
@@ -123,7 +122,7 @@
             self._idle_shapes.popitem(last=False)
 
     def refresh(self):
-        """Tell each shape which workers have gained room for it since the last call."""
+        """Tell each shape which workers have freed capacity since the last call."""
         freed_workers = self._freed
         if not freed_workers:
             return
@@ -136,10 +135,10 @@
         self._freed = {}
 
     def search(self, shape, roomiest_first=False):
-        """Return workers with room for a shape, tightest or roomiest first.
+        """Return workers that fit a shape, tightest or roomiest first.
 
-        An empty list says that there is none if ``shape.blocked`` is set; else that
-        none was found yet and the next call looks further.
+        If the list is empty and ``shape.blocked`` is set, there is none; if it isn't
+        set, none was found yet and the next call continues the search.
         """
         if shape.blocked:
             return []
@@ -177,7 +176,7 @@
         return found
 
     def _search_buckets_fully(self, shape):
-        """Look at every worker of the shape's buckets; if none has room, that's all."""
+        """Check every worker of the shape's buckets; block the shape if none fits."""
         found = [
             worker
             for _, _, workers in shape.buckets
@@ -191,7 +190,7 @@
         return found
 
     def _add_new_buckets(self, shape):
-        """Sort the buckets made since the last call in by how tight they are."""
+        """Insert the buckets created since the last call, in order of tightness."""
         cpu_millis, memory_mb, accelerators = shape.demand
         cpu, memory = level(cpu_millis), level(memory_mb)
         accelerators = min(accelerators, ACCELERATOR_LEVELS)
@@ -240,7 +239,7 @@
 
 
 def level(amount):
-    """Return the half octave of an amount: 64 and 95 share a level, 96 has the next."""
+    """Return the half octave of an amount: 64 and 95 share a level, 96 doesn't."""
     if amount <= 1:
         return 2 * amount if amount > 0 else 0
     length = amount.bit_length()
--- a/alderreach/decisions/serving.py
+++ b/alderreach/decisions/serving.py
@@ -1,7 +1,7 @@
-"""One service as an entry sees it: the single policies put together.
+"""One service as an entry sees it: combines the policies for admission and routing.
 
-It holds no thread and no socket; its answers are lists of ``Grant`` and ``Refusal`` for
-the caller to carry out, in order. ``docs/DESIGN.md`` says who does.
+It uses no threads and no sockets. Its methods return lists of ``Grant`` and ``Refusal``
+that the caller carries out in order; ``docs/DESIGN.md`` says which part that is.
 """
 
 import typing
@@ -25,7 +25,7 @@
 
 
 class Ask(typing.NamedTuple):
-    """A request that wants to be served; times are on the monotonic clock.
+    """A request for a runner; times are on the monotonic clock.
 
     ``attempt`` counts from 1; ``previous`` is how the attempt before it ended.
     """
@@ -48,7 +48,7 @@
 
 
 class Refusal(typing.NamedTuple):
-    """A request is turned away; ``retry_after_ms`` says when coming back helps."""
+    """A request is refused; the caller may try again after ``retry_after_ms``."""
 
     request_id: str
     kind: errors.Kind
@@ -56,7 +56,7 @@
 
 
 class AttemptEnded(typing.NamedTuple):
-    """How an attempt ended, told by whoever carried out its grant."""
+    """How an attempt ended, as reported by the caller that carried out its grant."""
 
     request_id: str
     runner_id: str
@@ -66,7 +66,7 @@
 
 
 class EntryLocation(typing.NamedTuple):
-    """Where the entry stands: its domain, and how many entries share the runners."""
+    """An entry's failure domain, and how many entries share the runners."""
 
     failure_domain: str
     entries_in_domain: int
@@ -80,7 +80,7 @@
 
 
 class Service:
-    """Waiting requests and runners of one service."""
+    """The waiting requests and the runners of one service."""
 
     def __init__(self, place, queue_length, random):
         self._queue_length = queue_length
@@ -94,31 +94,31 @@
         self._running = {}
 
     def set_runners(self, runners):
-        """Take the runners of the service as they are now known."""
+        """Replace the known runners of the service."""
         self._router.set_runners(runners)
         self._limit.set_bounds(
             max(1, len(self._router.usable)), max(1, self._router.max_outstanding())
         )
 
     def configure(self, weights, declared_run_ms):
-        """Take the teams' weights and the run time the configuration declares."""
+        """Set the teams' weights and the run time that the configuration declares."""
         self._line.set_weights(weights)
         self._run_times.declare(declared_run_ms)
 
     @property
     def waiting(self):
-        """Requests in the queue."""
+        """Number of requests in the queue."""
         return len(self._line)
 
     @property
     def running(self):
-        """Requests under way."""
+        """Number of requests that were granted a runner and have not ended."""
         return len(self._running)
 
     def submit(self, ask, now_ms, avoided=(), free_places=None):
-        """Take a request in, or turn it away; others may be affected.
+        """Queue or refuse a request; may also grant or refuse others.
 
-        ``room`` is how many more may wait in the entry, whatever their service.
+        ``free_places`` is how many more requests of any service may wait in the entry.
         """
         usable = set(self._router.usable)
         if not usable or usable <= set(avoided):
@@ -129,8 +129,8 @@
         waiting = ordering.Waiting(
             ask, tuple(avoided), self._run_times.expected_ms(ask.team)
         )
-        # An idle service takes any request: else a run time learned from a slow spell
-        # would turn all requests away, and nothing would ever correct it.
+        # An idle service accepts any request: otherwise a run time learned while it was
+        # slow could refuse all requests, and no new measurement would correct it.
         if self._running and not self._estimate(ask, now_ms).is_in_time:
             return [self._overloaded(ask)]
         self._line.push(waiting, first=ask.attempt > 1)
@@ -143,11 +143,11 @@
         return decisions + self._shed(waiting, bound)
 
     def refuse(self, ask):
-        """Refuse a request for which the entry has no room at all."""
+        """Refuse a request because the entry as a whole is full."""
         return self._overloaded(ask)
 
     def on_attempt_ended(self, ended, now_ms):
-        """An attempt has ended; others may go."""
+        """Record the end of an attempt; may grant or refuse waiting requests."""
         running = self._running.pop(ended.request_id, None)
         was_answered = ended.result == ANSWERED
         was_refused = ended.result == REFUSED
@@ -159,7 +159,7 @@
         return self.dispatch(now_ms)
 
     def dispatch(self, now_ms):
-        """Grant what can go now; the head is turned away if it can't be in time."""
+        """Grant waiting requests, and refuse those that can't meet their deadline."""
         decisions, skipped = [], set()
         while len(self._line) and len(self._running) < self._limit.value:
             waiting = self._line.head(now_ms, skipped)
@@ -181,18 +181,18 @@
         return decisions
 
     def tick(self, now_ms):
-        """Let time pass: returns (decisions, changes of targets for the time line)."""
+        """Return (decisions, changes of targets for the time line) due by now."""
         changes = self._outliers.tick(now_ms)
         removed = self._line.remove(lambda each: self._is_hopeless(each, now_ms))
         late = [self._deadline_refusal(waiting.ask, now_ms) for waiting in removed]
         return late + self.dispatch(now_ms), changes
 
     def withdraw(self, request_id):
-        """Forget a waiting request; False if it does not wait."""
+        """Remove a waiting request; return whether it was waiting."""
         return bool(self._line.remove(lambda each: each.ask.request_id == request_id))
 
     def _usable_slots(self):
-        """Slots this entry can count on: its own domain's, or more if it has them."""
+        """Return the slots this entry can rely on: its allowance, or those in use."""
         allowed = max(self._router.total_allowance(), len(self._running))
         return max(1, min(self._limit.value, allowed))
 
@@ -209,7 +209,7 @@
         )
 
     def _own_wait_ms(self, waiting, now_ms):
-        """How long the head of the line has waited and will for an own runner."""
+        """Return how long a request will have waited in total for a local runner."""
         waited_ms = now_ms - waiting.ask.arrived_ms
         return waited_ms + self._run_times.overall_ms / self._usable_slots()
 
@@ -228,7 +228,7 @@
         return Refusal(ask.request_id, errors.Kind.OVERLOADED, wait_ms)
 
     def _shed(self, newcomer, bound):
-        """Keep the queue within its bound: at the cost of the team with most in it."""
+        """Refuse requests above the queue's bound, of the team that has most in it."""
         decisions = []
         while len(self._line) > bound:
             team, share_ms = self._line.heaviest()
@@ -262,7 +262,7 @@
             self._limit.observe(ended.run_ms, in_flight, now_ms)
 
     def _is_hopeless(self, waiting, now_ms):
-        # As on arrival: an idle service tries what a slow spell would rule out.
+        # As in ``submit``, an idle service tries any request whose deadline is ahead.
         run_ms = self._run_times.expected_ms(waiting.ask.team) if self._running else 0
         return admission.is_hopeless(waiting.ask, run_ms, now_ms)
 
--- a/alderreach/decisions/shapes.py
+++ b/alderreach/decisions/shapes.py
@@ -1,12 +1,13 @@
-"""How far the search for one demand has come.
+"""The state of the search for one demand, which is resumed instead of repeated.
 
-Load: a full cell in which a thousand tasks end in a second, with hundreds of different
-demands waiting. Each end may make room for each of them; searching the cell anew for
-each costs a thousand times what the ends are worth.
+In a full cell a thousand tasks may end in a second while hundreds of different demands
+wait. Each end may free enough capacity for each of them, and a new search of the cell
+for each would cost a thousand times as much as handling the ends.
 
-After a search has been through all workers, only those that have gained room since,
-the *fresh* ones, can have room. With none of them left the shape is blocked. Beyond
-``FRESH_LIMIT`` fresh workers the cell is no longer full, and it is searched anew.
+After a search has covered all workers, only the *freed* ones, which have freed capacity
+since then, can fit the demand. When none of them is left, the shape is blocked. With
+more than ``MAX_FREED_WORKERS`` of them the cell is no longer full, and the search
+starts again.
 """
 
 CANDIDATES = 8
@@ -14,10 +15,11 @@
 
 
 class Shape:
-    """Search state of one demand; all tasks that ask for the same share it.
+    """Search state of one demand, shared by all tasks that request the same.
 
-    ``fresh`` are workers that gained room for it after a scan began, ``scanned`` is
-    how far that scan has come; ``overflow`` says that there were more of them.
+    ``freed`` are workers that freed enough capacity for it after a scan began;
+    ``overflow`` is set if there were too many to keep. ``scanned`` is the number of
+    workers that the scan has covered.
     """
 
     __slots__ = (
@@ -41,7 +43,7 @@
         self.restart()
 
     def restart(self):
-        """Search all workers anew."""
+        """Start the search again with all workers."""
         self.scanned = 0
         self.scanning = False
         self.overflow = False
@@ -49,12 +51,12 @@
         self.blocked = False
 
 
-# The two loops below run for each blocked shape after each end of a task, so they
-# compare in place; a call to ``resources.fits`` for each worker doubles a tick.
+# The two loops below run for each blocked shape after each end of a task. They compare
+# inline, since a call to ``resources.fits`` per worker doubles the time of a tick.
 
 
 def refresh(shape, freed_workers):
-    """Note which of the workers that have gained room have room for a shape."""
+    """Record which of the workers with freed capacity fit a shape."""
     if len(freed_workers) > MAX_FREED_WORKERS:
         shape.restart()
         return
@@ -71,7 +73,7 @@
 
 
 def search_freed(shape):
-    """Return fresh workers with room, and forget those without."""
+    """Return freed workers that fit a shape, and drop those that don't."""
     cpu_millis, memory_mb, accelerators = shape.demand
     freed, found = shape.freed, []
     while freed and len(found) < CANDIDATES:
--- a/alderreach/decisions/state.py
+++ b/alderreach/decisions/state.py
@@ -1,13 +1,14 @@
-"""What runs where, what waits and what it holds: the state that the policies share.
+"""What runs, what waits and what it holds: the state that the policies share.
 
-Load: starts and ends by the thousand a second, takeovers in which tasks are announced
-before their jobs are known, workers that vanish and return with their tasks running.
-If each policy kept its own count, one missed end would hand out the same processor
-twice. Here one pair of methods, ``hold`` and ``release``, moves all counts together.
+Thousands of tasks start and end per second, takeovers announce tasks before their jobs
+are known, and workers disappear and return with their tasks running. If each policy
+kept its own counts, one missed end would give out the same processor twice. Here all
+counts change together, when a run is added (``start``, ``adopt``) or ``release`` ends
+it.
 
-A run whose worker is unknown is *homeless*: it keeps its place until its end is
-reported, and holds its room again as soon as the worker is taken up. A run whose job is
-unknown is an *orphan*: what it holds can't be known, so its worker takes no work.
+A run whose worker is unknown stays counted until its end is reported, and is charged to
+the worker once that is added. A run whose job is unknown is an *orphan*: the resources
+that it holds are unknown, so its worker takes no work.
 """
 
 import collections
@@ -17,8 +18,8 @@
 from alderreach.core.generated import common
 from alderreach.decisions import actions, backlog, jobs, pool, quotas, resources
 
-# After a takeover the other tasks of a gang are announced within seconds; what is still
-# missing then is gone, and the gang has to start again as a whole.
+# After a takeover the other tasks of a gang are announced within seconds. One that is
+# missing after this time no longer runs, and the gang has to start again as a whole.
 REGROUP_AFTER_MS = 10_000
 
 
@@ -45,7 +46,7 @@
         self._uncertain = collections.Counter()
 
     def enqueue(self, job, first=False):
-        """Let a job's waiting tasks be placed, unless something holds the job back."""
+        """Queue a job's waiting tasks for placement, unless the job may not start."""
         if job.cancelled or job.parked or job.not_before_ms > self.now_ms:
             return
         if job.limit and len(job.runs) >= job.limit:
@@ -55,21 +56,21 @@
         self.backlog.add(job, first)
 
     def schedule_review(self, due_ms, job):
-        """Have a job looked at again at ``due_ms``."""
+        """Schedule a review of a job at ``due_ms``."""
         heapq.heappush(self._reviews, (due_ms, next(self._sequence), job))
 
     def due_reviews(self, limit):
-        """Yield the jobs that are due to be looked at, at most ``limit``."""
+        """Yield the jobs whose review is due, at most ``limit``."""
         for _ in range(limit):
             if not self._reviews or self._reviews[0][0] > self.now_ms:
                 return
             yield heapq.heappop(self._reviews)[2]
 
     def start(self, job, worker):
-        """Start the next waiting task of a job on a worker with room for it."""
+        """Start the next waiting task of a job on a worker that has capacity for it."""
         demand = job.spec.task
         if not self.cell.take(worker, demand):
-            raise AssertionError(f"{worker.worker_id} has no room for {demand}")
+            raise AssertionError(f"{worker.worker_id} lacks free capacity for {demand}")
         number = job.next_task()
         attempt = job.attempts.pop(number, 0) + 1
         run = jobs.Run(job, number, attempt, worker.worker_id, self.now_ms)
@@ -85,7 +86,7 @@
         return run
 
     def stop(self, run, stop_kind="stop", first=False):
-        """Queue a stop of a run, once; ``first`` goes before a cancellation wave."""
+        """Queue a stop of a run, once; ``first`` puts it before all queued stops."""
         if run.stop:
             return
         run.stop = stop_kind
@@ -95,7 +96,7 @@
             self.stops.append(run)
 
     def adopt(self, job, number, attempt, worker_id):
-        """Take up a run of a known job that an earlier owner started."""
+        """Add a run of a known job that an earlier owner started."""
         if number in job.runs:
             return
         if number < job.spec.tasks and not job.cancelled:
@@ -116,7 +117,7 @@
             self.backlog.remove(job)
 
     def release(self, run):
-        """Give back all that a run held."""
+        """Remove a run and free all that it held."""
         job = run.job
         del job.runs[run.number]
         worker = self.cell.workers.get(run.worker_id)
@@ -136,7 +137,7 @@
             self.normal_used = resources.minus(self.normal_used, job.spec.task)
 
     def add_worker(self, worker_id, vm, rack, capacity):
-        """Take up a worker with the runs that are known to be on it."""
+        """Add a worker with the runs that are known to be on it."""
         self.remove_worker(worker_id)
         worker = self.cell.add(worker_id, vm, rack, capacity)
         for run in self._runs_without_worker.pop(worker_id, ()):
@@ -147,7 +148,7 @@
         return worker
 
     def remove_worker(self, worker_id):
-        """Forget a worker; its runs stay until their end is reported."""
+        """Remove a worker; its runs stay counted until their end is reported."""
         worker = self.cell.workers.get(worker_id)
         if worker is None:
             return
@@ -156,21 +157,21 @@
             self._runs_without_worker[worker_id] = worker.tasks
 
     def add_orphan(self, job_id, number, attempt, worker_id):
-        """Note a run of a job that is not known yet."""
+        """Record a run of a job that is not known yet."""
         orphans = self._orphans.setdefault(job_id, {})
         if number not in orphans:
             orphans[number] = (worker_id, attempt)
             self._change_uncertain(worker_id, 1)
 
     def adopt_orphans(self, job):
-        """Take up the runs that were waiting for a job to be known."""
+        """Add the runs that were reported before their job was known."""
         orphans = self._orphans.pop(job.spec.job_id, {})
         for number, (worker_id, attempt) in orphans.items():
             self._change_uncertain(worker_id, -1)
             self.adopt(job, number, attempt, worker_id)
 
     def end_orphan(self, job_id, number):
-        """Note the end of a run of a job that is not known."""
+        """Record the end of a run of a job that is not known."""
         orphans = self._orphans.get(job_id, {})
         if number in orphans:
             worker_id, _ = orphans.pop(number)
@@ -220,7 +221,7 @@
 
 
 def job_status(job, state, reason):
-    """Return a job's counts as a ``common.JobStatus``, without epoch and time."""
+    """Return a job's ``common.JobStatus``, with epoch and time zero."""
     return common.JobStatus(
         job.spec.job_id, state, reason, len(job.runs), job.finished, job.failed, 0, 0
     )
--- a/alderreach/decisions/usage.py
+++ b/alderreach/decisions/usage.py
@@ -1,46 +1,49 @@
-"""What tasks really use, against what their teams declared.
-
-Load: declared sizes are up to ten times off, both ways. Taken as they are, a cell is
-full at a tenth of its capacity, or its VMs are overrun while they count as half empty.
-
-Admission is always by what a task was given, and what a worker has given out never
-exceeds its capacity. Two things are learned from usage, which workers report with a
-lag:
-
-- *Too little declared.* What a worker's tasks use above what they were given is kept
-  from new work as the worker's excess. Once its usage reaches ``RELIEF_AT`` of the VM,
-  the cheapest task that can checkpoint gives way, one in ``RELIEF_EVERY_MS``.
-- *Too much declared.* A workload's share of use is the highest seen on workers where
-  its tasks ran for longer than the lag, falling by ``DECAY`` with each lower report.
-  After ``ENOUGH_REPORTS`` its new jobs are given that share of the processors, and
-  ``MARGIN`` more, and never more than was declared. Memory is not reclaimed: a task
-  that is short of processors is slow, but one that is short of memory is killed.
-
-Usage is known by worker, not by task, so it is spread over a worker's tasks by what
-they were given; beside a greedy task a modest one looks greedier than it is, which errs
-on the safe side. A job's size is fixed when it is submitted, so its tasks stay alike.
-
-A worker is believed only after it has once reported no more than was given out. One
-that reports a full VM while nothing runs there (a monitor that counts the VM's own use,
-or its capacity) would otherwise never get any work.
+"""Corrects the sizes that teams declare by the usage that workers report.
+
+Declared sizes are up to ten times off in both directions. Without a correction, a cell
+is full at a tenth of its capacity, or its VMs are overloaded while they count as half
+empty.
+
+Admission always uses the size that a task was given, and the sum of these sizes on a
+worker never exceeds its capacity. Two corrections are learned from usage, which workers
+report with a lag:
+
+- *Too little declared.* The usage of a worker's tasks above what they were given is its
+  excess, which is not available to new work. Once its usage reaches
+  ``RELIEF_THRESHOLD`` of the VM, the task that is cheapest to preempt among those that
+  can checkpoint is preempted, at most one per ``RELIEF_INTERVAL_MS``.
+- *Too much declared.* A workload's share is the highest ratio of usage to declared size
+  on workers where its tasks ran for longer than the lag; ``DECAY`` lowers it with each
+  lower report. After ``MIN_REPORTS`` its new jobs are given that share of the
+  processors plus ``MARGIN``, but never more than declared. Memory is not reclaimed: a
+  task that is short of processors is slow, but one that is short of memory is killed.
+
+Usage is known per worker, not per task, so it is divided among a worker's tasks in
+proportion to their sizes. Beside a task that uses too much, a modest one appears to use
+more than it does, which errs on the safe side. A job's size is fixed when it is
+submitted, so all its tasks have the same size.
+
+A worker's reports are trusted only after it has once reported no more than was given
+out. Otherwise a worker that reports a full VM while nothing runs there (because its
+monitor counts the VM's own use, or reports the capacity) would never get any work.
 """
 
 from alderreach.core.generated import common
 from alderreach.decisions import preemption, resources
 
-# Ten heartbeats: a report is later than the tasks that it is held against.
+# Ten heartbeats: a report may cover a time before a worker's newest tasks started.
 MAX_REPORT_LAG_MS = 10_000
 MIN_REPORTS = 30
 MARGIN = 0.25
-# A peak is forgotten by half in about 70 reports.
+# Halves a peak in about 70 reports.
 DECAY = 0.01
 # Declared sizes are up to ten times off.
 MIN_SHARE = 0.1
-# Excess that changes by less is not worth indexing a worker anew.
+# A share of the capacity; for a smaller change the worker is not indexed again.
 MIN_EXCESS_CHANGE = 0.02
 RELIEF_THRESHOLD = 0.95
 RELIEF_INTERVAL_MS = 10_000
-# Above all priorities, so that any work that isn't urgent may give way.
+# Above all priorities, so that any work that isn't urgent may be preempted.
 ABOVE_ALL_PRIORITIES = 10
 
 
@@ -64,7 +67,7 @@
         self._trusted = set()
 
     def with_learned_size(self, spec):
-        """Return a job with the size that its tasks are given."""
+        """Return a job's spec with the size that its tasks are given."""
         record = self._records.get((spec.team, spec.workload))
         if record is None or record.reports < MIN_REPORTS or not spec.workload:
             return spec
@@ -75,7 +78,7 @@
         return spec._replace(task=spec.task._replace(cpu_millis=cpu_millis))
 
     def observe(self, worker, usage):
-        """Take in the usage that a worker reports."""
+        """Record the usage that a worker reports."""
         given = resources.minus(worker.capacity, worker.free)
         given = resources.minus(given, worker.excess)
         if not self._is_trusted(worker, usage, given):
@@ -86,7 +89,7 @@
             self._relieve(worker, usage, given)
 
     def forget(self, worker_id):
-        """A worker is gone."""
+        """Drop what is known of a removed worker."""
         self._next_relief_ms.pop(worker_id, None)
         self._trusted.discard(worker_id)
 
