--- a/alderreach/decisions/quarantine.py
+++ b/alderreach/decisions/quarantine.py
@@ -93,11 +93,11 @@
         if record is not None and record.probe is run:
             self._schedule_probe(run.worker_id, record)
 
-    def worker_added(self, worker):
+    def on_worker_added(self, worker):
         """Give a new worker an empty record."""
         self._forget(worker.worker_id)
 
-    def worker_removed(self, worker_id):
+    def on_worker_removed(self, worker_id):
         """Delete the record of a removed worker."""
         self._forget(worker_id)
 
--- a/alderreach/decisions/scheduler.py
+++ b/alderreach/decisions/scheduler.py
@@ -72,13 +72,13 @@
         if known is not None and known.capacity == capacity:
             return
         worker = self._state.add_worker(worker_id, vm, rack, capacity)
-        self._quarantine.worker_added(worker)
+        self._quarantine.on_worker_added(worker)
         self._parking.supply_changed()
 
     def remove_worker(self, worker_id):
         """Remove a worker; its tasks are reported as lost one by one."""
         self._state.remove_worker(worker_id)
-        self._quarantine.worker_removed(worker_id)
+        self._quarantine.on_worker_removed(worker_id)
         self._poison_jobs.worker_removed(worker_id)
         self._observer.forget(worker_id)
 
