--- a/alderreach/decisions/preemption.py
+++ b/alderreach/decisions/preemption.py
@@ -10,15 +10,15 @@
 a whole with any of its tasks. The freed capacity is reserved for the urgent line until
 the victims have ended.
 
-Two limits prevent thrashing: a task is preempted at most ``PREEMPTIONS_ALLOWED`` times
+Two limits prevent thrashing: a task is preempted at most ``MAX_PREEMPTIONS`` times
 and then runs to its end, and preemption stops once normal work as a whole holds no more
-than ``NORMAL_FLOOR`` of the cell.
+than ``MIN_NORMAL_SHARE`` of the cell.
 """
 
 from alderreach.decisions import draining, reservations, resources
 
-PREEMPTIONS_ALLOWED = 3
-NORMAL_FLOOR = 0.1
+MAX_PREEMPTIONS = 3
+MIN_NORMAL_SHARE = 0.1
 # Bounds the time of a tick: tasks of one line that capacity is freed for in one tick.
 MAX_TASKS_PER_TICK = 128
 MIN_WORKERS_EXAMINED = 64
@@ -35,7 +35,7 @@
 def plan(state, lines):
     """Free capacity for the urgent lines that found none."""
     for line in lines:
-        if resources.share(state.normal_used, state.cell.total) <= NORMAL_FLOOR:
+        if resources.share(state.normal_used, state.cell.total) <= MIN_NORMAL_SHARE:
             return
         if line.reservation is None:
             _plan_line(state, line)
@@ -127,7 +127,7 @@
     job = run.job
     if run.stop or job.is_urgent() or job.spec.priority >= priority:
         return False
-    return job.preempted.get(run.number, 0) < PREEMPTIONS_ALLOWED
+    return job.preempted.get(run.number, 0) < MAX_PREEMPTIONS
 
 
 def cheapest_checkpointable(state, worker, priority):
--- a/alderreach/decisions/search.py
+++ b/alderreach/decisions/search.py
@@ -169,7 +169,7 @@
                 cpu, memory, idle = worker.free
                 if cpu_millis <= cpu and memory_mb <= memory and accelerators <= idle:
                     found.append(worker)
-            if len(found) >= shapes.CANDIDATES:
+            if len(found) >= shapes.MAX_CANDIDATES:
                 break
         if not found and worker_count <= SCAN_LIMIT:
             found = self._search_buckets_fully(shape)
--- a/alderreach/decisions/shapes.py
+++ b/alderreach/decisions/shapes.py
@@ -10,7 +10,7 @@
 starts again.
 """
 
-CANDIDATES = 8
+MAX_CANDIDATES = 8
 MAX_FREED_WORKERS = 256
 
 
@@ -76,7 +76,7 @@
     """Return freed workers that fit a shape, and drop those that don't."""
     cpu_millis, memory_mb, accelerators = shape.demand
     freed, found = shape.freed, []
-    while freed and len(found) < CANDIDATES:
+    while freed and len(found) < MAX_CANDIDATES:
         worker, _ = freed.popitem()
         cpu, memory, idle = worker.free
         fits = cpu_millis <= cpu and memory_mb <= memory and accelerators <= idle
