--- a/alderreach/decisions/endings.py
+++ b/alderreach/decisions/endings.py
@@ -31,11 +31,11 @@
     state.release(run)
     _update_counts(job, run, outcome)
     if outcome == "finished":
-        quarantine.finished(run)
+        quarantine.on_finished(run)
     elif outcome in ("failed", "refused"):
-        quarantine.failed(run, outcome)
+        quarantine.on_failed(run, outcome)
     else:
-        quarantine.ended_otherwise(run)
+        quarantine.on_ended_otherwise(run)
     if outcome == "lost":
         poison_jobs.on_run_lost(run)
     elif outcome in ("finished", "failed"):
@@ -82,7 +82,7 @@
     """Enqueue a job whose pause is over; restart a gang that runs only in part."""
     if job.is_gang() and job.runs and job.waiting and not job.cancelled:
         _restart_gang(state, job)
-    state.wait(job)
+    state.enqueue(job)
 
 
 def _update_counts(job, run, outcome):
@@ -111,7 +111,7 @@
         # One pause for all tasks lost with a rack.
         _pause(state, run)
     job.requeue(run.number)
-    state.wait(job, first=True)
+    state.enqueue(job, first=True)
 
 
 def _pause(state, run):
@@ -122,7 +122,7 @@
     job.restarts += 1
     job.not_before_ms = state.now_ms + pause_ms
     state.backlog.remove(job)
-    state.review_at(job.not_before_ms, job)
+    state.schedule_review(job.not_before_ms, job)
 
 
 def _end_task(state, run, outcome):
@@ -131,7 +131,7 @@
         job.finished += 1
         job.mark_final(number)
         # The other tasks of a gang may have been waiting for this one to end.
-        state.wait(job, first=True)
+        state.enqueue(job, first=True)
         return
     if job.given_up or _exhausts_attempts(state, run, outcome):
         if outcome == "lost":
@@ -149,7 +149,7 @@
     elif job.is_gang() and job.runs:
         _restart_gang(state, job)
     else:
-        state.wait(job, first=True)
+        state.enqueue(job, first=True)
 
 
 def _give_up_lost(job, number):
--- a/alderreach/decisions/gangs.py
+++ b/alderreach/decisions/gangs.py
@@ -23,7 +23,7 @@
     wanted = job.waiting
     total_demand = resources.times(line.demand, wanted)
     if not state.ledger.allows(account, total_demand, line):
-        state.ledger.note_used_up(account, line, total_demand, state.now_ms)
+        state.ledger.on_quota_used_up(account, line, total_demand, state.now_ms)
         job.retry_ms = state.now_ms + RETRY_MS
         return 1
     workers = find_workers(state, line.shape, wanted, is_suspect=job.limit > 0)
--- a/alderreach/decisions/poison_jobs.py
+++ b/alderreach/decisions/poison_jobs.py
@@ -50,7 +50,7 @@
             return
         if job.review_due_ms is None:
             job.review_due_ms = now_ms + REVIEW_AFTER_MS
-            self._state.review_at(job.review_due_ms, job)
+            self._state.schedule_review(job.review_due_ms, job)
         job.lost_on.append(run.worker_id)
 
     def forget(self, job):
@@ -63,7 +63,7 @@
         self._suspects.pop(job, None)
         if job.limit:
             job.limit = 0
-            self._state.wait(job)
+            self._state.enqueue(job)
 
     def review(self, job):
         """Review a job's losses if due; end its probation if a task survived."""
@@ -74,7 +74,7 @@
             if self._has_survivor(job):
                 self.clear_suspicion(job)
             else:
-                self._state.review_at(now_ms + REVIEW_INTERVAL_MS, job)
+                self._state.schedule_review(now_ms + REVIEW_INTERVAL_MS, job)
 
     def _review_losses(self, job):
         own_lost, job.lost_on, job.review_due_ms = job.lost_on, [], None
--- a/alderreach/decisions/pool.py
+++ b/alderreach/decisions/pool.py
@@ -127,7 +127,7 @@
 
     def reindex(self, worker):
         """Update the index after a worker may have freed capacity, opened or closed."""
-        self.index.grow(worker)
+        self.index.mark_freed(worker)
         self._notify_reservation(worker)
 
     def _notify_reservation(self, worker):
--- a/alderreach/decisions/preemption.py
+++ b/alderreach/decisions/preemption.py
@@ -1,47 +1,48 @@
-"""Urgent work takes the place of normal work when the cell is full.
+"""Preempts normal tasks for urgent work when the cell is full.
 
-Load: a closure plan or a morning's kitchen run is handed in while the cell is full of
-batch work that runs for hours. Without preemption it waits for hours; with preemption
-that knows no measure, a stream of urgent work throws the same tasks out again and
-again, and none of them ever ends.
+Without preemption, urgent work such as a closure plan or a morning's kitchen run waits
+for hours while the cell is full of long batch work. With unlimited preemption, a stream
+of urgent work stops the same tasks again and again, and none of them ever finishes.
 
-Of a random window of workers, those are chosen where room costs least: tasks that can
-checkpoint before those that lose their work, low priority before high, recent before
-long-running, batch before services, and gangs last, since all of a gang stops with one
-of its tasks. The room is reserved for the urgent line until its victims have ended.
+Victims are chosen on a random window of workers, where freeing capacity costs least:
+tasks that can checkpoint before those that lose their work, low priority before high,
+recent before long-running, batch before services, and gangs last, since a gang stops as
+a whole with any of its tasks. The freed capacity is reserved for the urgent line until
+the victims have ended.
 
-Floors against thrash: a task gives way ``PREEMPTIONS_ALLOWED`` times, then it runs to
-its end; and normal work as a whole is never pushed below ``NORMAL_FLOOR`` of the cell.
+Two limits prevent thrashing: a task is preempted at most ``MAX_PREEMPTIONS`` times
+and then runs to its end, and preemption stops once normal work as a whole holds no more
+than ``MIN_NORMAL_SHARE`` of the cell.
 """
 
 from alderreach.decisions import draining, reservations, resources
 
-PREEMPTIONS_ALLOWED = 3
-NORMAL_FLOOR = 0.1
-# Tasks of one line that room is made for in one tick, which bounds the tick.
-TASKS_PER_TICK = 128
-WINDOW = 64
-WINDOW_PER_TASK = 4
-# In units of one step of priority.
+MAX_PREEMPTIONS = 3
+MIN_NORMAL_SHARE = 0.1
+# Bounds the time of a tick: tasks of one line that capacity is freed for in one tick.
+MAX_TASKS_PER_TICK = 128
+MIN_WORKERS_EXAMINED = 64
+WORKERS_EXAMINED_PER_TASK = 4
+# Costs are in units of one priority level.
 COST_LOST_WORK = 10
 COST_SERVICE = 30
 COST_GANG_TASK = 10
-COST_AGAIN = 5
-MINUTES_COUNTED = 10
+COST_PER_PREEMPTION = 5
+MAX_MINUTES_COUNTED = 10
 MS_PER_MINUTE = 60_000
 
 
 def plan(state, lines):
-    """Make room for the urgent lines that found none."""
+    """Free capacity for the urgent lines that found none."""
     for line in lines:
-        if resources.share(state.normal_used, state.cell.total) <= NORMAL_FLOOR:
+        if resources.share(state.normal_used, state.cell.total) <= MIN_NORMAL_SHARE:
             return
         if line.reservation is None:
             _plan_line(state, line)
 
 
 def _plan_line(state, line):
-    need = _need(state, line)
+    need = _tasks_needed(state, line)
     if need <= 0:
         return
     options = _options(state, line, need)
@@ -54,18 +55,18 @@
             break
         chosen.append(option)
         need -= option[3]
-    if not chosen or (job is not None and _is_reserved(state, job)):
+    if not chosen or (job is not None and _has_reservation(state, job)):
         return
     workers = [worker for _, _, worker, _, _ in chosen]
     reservation = reservations.reserve(state, line, job, workers, urgent=True)
     for _, _, worker, copies, victims in chosen:
-        reservation.promised[worker] = copies
+        reservation.planned[worker] = copies
         for run in victims:
-            displace(state, run)
+            preempt(state, run)
 
 
-def _need(state, line):
-    """Return for how many tasks of a line room should be made now."""
+def _tasks_needed(state, line):
+    """Return how many tasks of a line need capacity freed for them now."""
     account = state.ledger.account(line.team)
     left = resources.minus(account.quota, account.used)
     allowed = resources.copies(line.demand, left)
@@ -75,18 +76,18 @@
     wanted = 0
     for job in line.jobs.values():
         wanted += job.waiting
-        if wanted >= TASKS_PER_TICK:
+        if wanted >= MAX_TASKS_PER_TICK:
             break
-    return min(wanted, allowed, TASKS_PER_TICK)
+    return min(wanted, allowed, MAX_TASKS_PER_TICK)
 
 
-def _is_reserved(state, job):
+def _has_reservation(state, job):
     return any(each.job is job for each in state.reservations)
 
 
 def _options(state, line, need):
-    """Return (cost, order, worker, copies, victims) by the cost of a copy."""
-    window = max(WINDOW, WINDOW_PER_TASK * need)
+    """Return (cost, order, worker, copies, victims) tuples, by the cost per copy."""
+    window = max(MIN_WORKERS_EXAMINED, WORKERS_EXAMINED_PER_TASK * need)
     workers = [
         worker
         for worker in draining.candidates(state, line.demand, window)
@@ -97,16 +98,16 @@
     each = need if line.is_gang else -(-need // len(workers))
     options = []
     for worker in workers:
-        copies, cost, victims = _make_room(state, worker, line, each)
+        copies, cost, victims = _choose_victims(state, worker, line, each)
         if copies:
             options.append((cost / copies, worker.order, worker, copies, victims))
     options.sort(key=lambda option: option[:2])
     return options
 
 
-def _make_room(state, worker, line, wanted):
-    """Return how many copies fit, at what cost, and whom it displaces."""
-    runs = [run for run in worker.tasks if may_displace(run, line.priority)]
+def _choose_victims(state, worker, line, wanted):
+    """Return how many copies fit, the cost, and the runs to preempt for them."""
+    runs = [run for run in worker.tasks if may_preempt(run, line.priority)]
     runs.sort(key=lambda run: (_cost(state, run), -run.started_ms, run.number))
     demand, free = line.demand, worker.free
     copies, cost, victims, kept = resources.copies(demand, free), 0, [], 0
@@ -121,20 +122,20 @@
     return min(copies, wanted), cost, victims[:kept]
 
 
-def may_displace(run, priority):
-    """Whether a run may be stopped for work of an urgent priority."""
+def may_preempt(run, priority):
+    """Whether a run may be stopped for urgent work of a given priority."""
     job = run.job
     if run.stop or job.is_urgent() or job.spec.priority >= priority:
         return False
-    return job.preempted.get(run.number, 0) < PREEMPTIONS_ALLOWED
+    return job.preempted.get(run.number, 0) < MAX_PREEMPTIONS
 
 
-def cheapest_checkpoint(state, worker, priority):
-    """Return the task that gives way at the least cost, None if none can checkpoint."""
+def cheapest_checkpointable(state, worker, priority):
+    """Return the run that is cheapest to preempt, None if none can checkpoint."""
     runs = [
         run
         for run in worker.tasks
-        if run.job.spec.checkpoint and may_displace(run, priority)
+        if run.job.spec.checkpoint and may_preempt(run, priority)
     ]
     return min(
         runs,
@@ -145,10 +146,12 @@
 
 def _cost(state, run):
     job = run.job
-    cost = job.spec.priority + 1 + COST_AGAIN * job.preempted.get(run.number, 0)
+    cost = (
+        job.spec.priority + 1 + COST_PER_PREEMPTION * job.preempted.get(run.number, 0)
+    )
     minutes = (state.now_ms - run.started_ms) / MS_PER_MINUTE
     if not job.spec.checkpoint:
-        cost += COST_LOST_WORK + min(MINUTES_COUNTED, minutes)
+        cost += COST_LOST_WORK + min(MAX_MINUTES_COUNTED, minutes)
     if job.is_service():
         cost += COST_SERVICE
     if job.is_gang():
@@ -156,8 +159,8 @@
     return cost
 
 
-def displace(state, run):
-    """Let a run give way, by a checkpoint if it can."""
+def preempt(state, run):
+    """Stop a run for other work, with a checkpoint if it supports one."""
     job = run.job
     job.preempted[run.number] = job.preempted.get(run.number, 0) + 1
     state.stop(run, run.gentlest_stop(), first=True)
--- a/alderreach/decisions/reservations.py
+++ b/alderreach/decisions/reservations.py
@@ -1,43 +1,44 @@
-"""Workers kept free for who would else never find room.
+"""Keeps workers free for work that would otherwise never find enough capacity.
 
-Load: a gang, or a task as large as a worker, among a stream of small tasks that take
-each gap first; urgent work that has to wait for others to make way.
+That is a gang, or a task as large as a worker, among a stream of small tasks that fill
+each gap first; and urgent work that waits for preempted tasks to end.
 
-A reservation takes all its workers in one step, and only if they suffice once what may
-still run there has ended. So no reservation waits to grow while it holds something, and
-two of them can't wait for each other; and since its workers take no other work, each is
-served in the end. One that no longer suffices (a worker died) is given up whole; its
-gang, by then the oldest, is the next to get one.
+A reservation takes all its workers in one step, and only if they suffice once the tasks
+on them have ended. So no reservation holds workers while it waits for more, and two
+reservations can't deadlock; and since reserved workers take no other work, each
+reservation is served eventually. One that no longer suffices, because a worker was
+lost, is released in full; its gang, by then the oldest, is the next to get one.
 
 Waiting for the last task on a chosen worker to end takes as long as the longest task
-runs. So the oldest gang's reservation also keeps whatever room becomes free elsewhere,
+runs. So the oldest gang's reservation also keeps the capacity that is freed elsewhere,
 and the gang starts as soon as both together are enough.
 """
 
 from alderreach.decisions import gangs, resources
 
-# A stop that has not ended by then is the placer's to settle; the room goes back.
-URGENT_HOLD_MS = 30_000
-# Searches for free room to keep in one try; each finds up to eight workers.
-CAPTURES = 64
+# After this time the capacity is released; the placer handles stops that take longer.
+MAX_URGENT_HOLD_MS = 30_000
+# Searches for free capacity per attempt; each finds up to eight workers.
+MAX_CAPTURE_SEARCHES = 64
 
 
 class Reservation:
     """Workers kept for a gang, or for the waiting tasks of a line.
 
-    ``workers`` maps a worker to the copies it could take now and once it is drained;
-    ``ready`` and ``enough`` are their sums. ``promised`` counts the tasks to start on
-    each worker if the tasks needn't start together.
+    ``workers`` maps a worker to the copies that fit it now and once it is drained;
+    ``ready`` and ``expected`` are their sums. ``planned`` counts the tasks to start on
+    each worker if they needn't start together. ``fillers`` are the backfill runs, which
+    were started on reserved workers because they were declared to end in time.
     """
 
     __slots__ = (
         "changed",
-        "enough",
+        "expected",
         "fillers",
         "job",
         "line",
         "needed_at_ms",
-        "promised",
+        "planned",
         "ready",
         "retry_ms",
         "since_ms",
@@ -51,9 +52,9 @@
         self.since_ms = now_ms
         self.urgent = urgent
         self.workers = {}
-        self.promised = {}
+        self.planned = {}
         self.ready = 0
-        self.enough = 0
+        self.expected = 0
         self.changed = {}
         self.fillers = []
         self.needed_at_ms = now_ms
@@ -61,45 +62,45 @@
 
 
 def reserve(state, line, job, workers, urgent=False):
-    """Keep workers for a gang or, if ``job`` is None, for tasks of a line."""
+    """Reserve workers for a gang or, if ``job`` is None, for tasks of a line."""
     reservation = Reservation(line, job, state.now_ms, urgent)
     state.reservations.append(reservation)
     if job is None:
         line.reservation = reservation
     for worker in workers:
-        _add(state, reservation, worker)
+        _reserve_worker(state, reservation, worker)
     return reservation
 
 
-def _add(state, reservation, worker):
+def _reserve_worker(state, reservation, worker):
     if worker.held_for is not None:
-        _drop(state, worker.held_for, worker)
+        _release_worker(state, worker.held_for, worker)
     worker.held_for = reservation
     reservation.workers[worker] = (0, 0)
     state.cell.reindex(worker)
 
 
 def release(state, reservation):
-    """Give up a reservation."""
+    """End a reservation and release its workers."""
     state.reservations.remove(reservation)
     if reservation.line.reservation is reservation:
         reservation.line.reservation = None
     for worker in list(reservation.workers):
-        _drop(state, reservation, worker)
+        _release_worker(state, reservation, worker)
 
 
-def _drop(state, reservation, worker):
-    ready, enough = reservation.workers.pop(worker)
-    reservation.promised.pop(worker, None)
+def _release_worker(state, reservation, worker):
+    ready, expected = reservation.workers.pop(worker)
+    reservation.planned.pop(worker, None)
     reservation.ready -= ready
-    reservation.enough -= enough
+    reservation.expected -= expected
     reservation.changed.pop(worker, None)
     worker.held_for = None
     state.cell.reindex(worker)
 
 
 def serve(state):
-    """Start what reserved room has become ready for; give up what can't be met."""
+    """Start what fits reserved capacity now; end reservations that can't be met."""
     for reservation in list(state.reservations):
         _update(state, reservation)
         if reservation.job is None:
@@ -115,14 +116,14 @@
         if worker.held_for is not reservation:
             continue
         if not worker.is_usable():
-            _drop(state, reservation, worker)
+            _release_worker(state, reservation, worker)
             continue
-        ready, enough = reservation.workers[worker]
+        ready, expected = reservation.workers[worker]
         now = resources.copies(demand, worker.free)
         later = max(now, resources.copies(demand, worker.drained_capacity()))
         reservation.workers[worker] = (now, later)
         reservation.ready += now - ready
-        reservation.enough += later - enough
+        reservation.expected += later - expected
 
 
 def _serve_gang(state, reservation):
@@ -134,17 +135,17 @@
     elif reservation.ready >= job.waiting:
         gangs.start_all(state, job, _ready_workers(reservation, job.waiting))
         release(state, reservation)
-    elif reservation.enough < job.waiting:
+    elif reservation.expected < job.waiting:
         release(state, reservation)
     else:
         _serve_gang_from_all(state, reservation)
 
 
 def _serve_gang_from_all(state, reservation):
-    """Start a gang on what is reserved and what is free elsewhere together.
+    """Start a gang on reserved workers and on free capacity elsewhere together.
 
-    If that isn't enough, the oldest reservation keeps what is free for itself, and
-    stops who still runs there on borrowed time if only their room is missing.
+    If that isn't enough, the oldest reservation also reserves the free capacity, and
+    stops its backfill runs if only their capacity is missing.
     """
     if reservation.retry_ms > state.now_ms:
         return
@@ -156,47 +157,50 @@
         release(state, reservation)
         gangs.start_all(state, job, workers)
     elif is_oldest(state, reservation):
-        _capture(state, reservation)
-        if reservation.ready + _lent(state, reservation) >= job.waiting:
+        _reserve_free_workers(state, reservation)
+        if (
+            reservation.ready + _copies_held_by_fillers(state, reservation)
+            >= job.waiting
+        ):
             _end_backfill(state, reservation)
 
 
 def is_oldest(state, reservation):
-    """Whether no other gang has had a reservation for longer."""
+    """Whether no other gang's reservation is older."""
     return reservation is next(each for each in state.reservations if each.job)
 
 
-def _capture(state, reservation):
-    """Reserve the workers that have room for a task now, up to a number."""
+def _reserve_free_workers(state, reservation):
+    """Reserve workers that fit a task now, in at most ``MAX_CAPTURE_SEARCHES``."""
     shape = reservation.line.shape
-    for _ in range(CAPTURES):
+    for _ in range(MAX_CAPTURE_SEARCHES):
         if reservation.ready >= reservation.job.waiting or shape.blocked:
             return
         for worker in state.cell.index.search(shape):
-            _add(state, reservation, worker)
+            _reserve_worker(state, reservation, worker)
         _update(state, reservation)
 
 
-def _lent(state, reservation):
-    """Return how many tasks more there were room for without those on borrowed time."""
+def _copies_held_by_fillers(state, reservation):
+    """Return how many more tasks would fit if the backfill runs had ended."""
     demand = reservation.line.demand
     reservation.fillers = [
         run for run in reservation.fillers if run.job.runs.get(run.number) is run
     ]
-    lent = {}
+    reclaimable = {}
     for run in reservation.fillers:
         worker = state.cell.workers.get(run.worker_id)
         if worker in reservation.workers:
-            so_far = lent.get(worker, worker.free)
-            lent[worker] = resources.plus(so_far, run.job.spec.task)
+            so_far = reclaimable.get(worker, worker.free)
+            reclaimable[worker] = resources.plus(so_far, run.job.spec.task)
     return sum(
         resources.copies(demand, free) - reservation.workers[worker][0]
-        for worker, free in lent.items()
+        for worker, free in reclaimable.items()
     )
 
 
 def needed_in_ms(state, reservation):
-    """Estimate after how long a reservation's room is needed, from its progress."""
+    """Estimate from its progress when a reservation will need its capacity."""
     drained_ms = reservation.needed_at_ms - state.now_ms
     if reservation.job is None or not reservation.ready:
         return drained_ms
@@ -217,9 +221,9 @@
 def _serve_line(state, reservation):
     line = reservation.line
     account = state.ledger.account(line.team)
-    for worker in list(reservation.promised):
+    for worker in list(reservation.planned):
         _serve_worker(state, reservation, worker, account)
-    overdue = state.now_ms - reservation.since_ms > URGENT_HOLD_MS
+    overdue = state.now_ms - reservation.since_ms > MAX_URGENT_HOLD_MS
     if not line.jobs or not reservation.workers or (reservation.urgent and overdue):
         release(state, reservation)
     elif state.now_ms >= reservation.needed_at_ms:
@@ -227,21 +231,21 @@
 
 
 def _serve_worker(state, reservation, worker, account):
-    line, promised = reservation.line, reservation.promised
-    while promised[worker] and line.jobs and resources.fits(line.demand, worker.free):
+    line, planned = reservation.line, reservation.planned
+    while planned[worker] and line.jobs and resources.fits(line.demand, worker.free):
         if not state.ledger.allows(account, line.demand, line):
             break
         line.blocked_since_ms = None
         state.start(line.head(), worker)
-        promised[worker] -= 1
+        planned[worker] -= 1
     draining = reservation.workers[worker][1] > 0 and not reservation.urgent
     stopping = any(run.stop for run in worker.tasks)
-    if not promised[worker] or not (draining or stopping):
-        _drop(state, reservation, worker)
+    if not planned[worker] or not (draining or stopping):
+        _release_worker(state, reservation, worker)
 
 
 def _end_backfill(state, reservation):
-    """Stop what still runs on borrowed time."""
+    """Stop the backfill runs that have not ended."""
     for run in reservation.fillers:
         if run.job.runs.get(run.number) is run:
             run.job.overran = True
--- a/alderreach/decisions/search.py
+++ b/alderreach/decisions/search.py
@@ -1,19 +1,18 @@
-"""Finds workers with room for a task at a cost that doesn't grow with the cell.
+"""Finds workers with capacity for a task, at a cost independent of the cell's size.
 
-Load: thousands of placements a second while ten thousand workers fill and empty. A
-scan of all workers for each task costs milliseconds at that size, and the queue grows
-faster than it is served.
+The cell makes thousands of placements a second while ten thousand workers fill and
+empty. A scan of all workers for each task takes milliseconds at that size, so the queue
+would grow faster than it is served.
 
 Workers with about the same free capacity share a *bucket*. A search walks the buckets
-that can hold the demand, tightest first, and looks at ``SAMPLES_PER_BUCKET`` workers of
-each until it has a few candidates. The number of buckets follows from the sizes that
-workers come in, not from how many there are.
-
-A search that samples in vain must not miss a worker with room. It looks at all workers
-of its buckets if they are few, and else reads on through all workers, ``SCAN_LIMIT``
-per call. From then on it looks only at workers that have gained room since, see
-``shapes``.
-``docs/measurements/placement.md`` has the sweeps.
+that can hold the demand, tightest first, and samples ``SAMPLES_PER_BUCKET`` workers of
+each until it has a few candidates. The number of buckets depends on the sizes of the
+workers, not on their number.
+
+A search whose samples all fail must not miss a worker with enough capacity. If its
+buckets hold few workers, it checks all of them, else it scans all workers of the cell,
+``SCAN_LIMIT`` per call. After that it checks only workers with capacity freed since
+then (``shapes``). ``docs/measurements/placement.md`` compares values of the constants.
 """
 
 import bisect
@@ -25,14 +24,14 @@
 
 SAMPLES_PER_BUCKET = 4
 SCAN_LIMIT = 256
-# Workers with more free accelerators than this share a level.
+# Workers with at least this many free accelerators share a level.
 ACCELERATOR_LEVELS = 16
-# More than the 73 teams' workloads that are active together; about 5 KB each.
-IDLE_SHAPES = 512
+# More than the workloads of 73 teams that are active together; about 5 KB each.
+MAX_IDLE_SHAPES = 512
 
 
 class Bucket(typing.NamedTuple):
-    """Workers with about the same free capacity, and its levels."""
+    """Workers with about the same free capacity, and the levels of that capacity."""
 
     accelerators: int
     cpu: int
@@ -41,7 +40,7 @@
 
 
 class Index:
-    """The workers that take work, by what they have free."""
+    """The workers that take work, by their free capacity."""
 
     def __init__(self, random):
         self._random = random
@@ -50,25 +49,25 @@
         self._order = []
         self._buckets = {}
         self._bucket_list = []
-        self._grown = {}
+        self._freed = {}
 
     def add(self, worker):
-        """Take up a worker."""
+        """Add a worker."""
         worker.order = len(self._order)
         self._order.append(worker)
-        self.grow(worker)
+        self.mark_freed(worker)
 
     def remove(self, worker):
-        """Forget a worker, which takes no work any more."""
-        self.grow(worker)
+        """Remove a worker, which takes no more work."""
+        self.mark_freed(worker)
         last = self._order.pop()
         if last is worker:
             return
         self._order[worker.order] = last
         last.order = worker.order
-        # A scan that has passed this place would miss the worker moved here.
+        # A scan that is already past this index would miss the worker moved here.
         if last.bucket is not None:
-            self._grown[last] = None
+            self._freed[last] = None
 
     def move(self, worker):
         """Move a worker to the bucket of its free capacity, or out of the index."""
@@ -83,23 +82,23 @@
         worker.position = len(bucket.workers)
         bucket.workers.append(worker)
 
-    def grow(self, worker):
-        """Move a worker that may have gained room, and remember that it has."""
+    def mark_freed(self, worker):
+        """Move a worker that may have freed capacity, and record it for ``refresh``."""
         self.move(worker)
         if worker.bucket is None:
-            self._grown.pop(worker, None)
+            self._freed.pop(worker, None)
         else:
-            self._grown[worker] = None
+            self._freed[worker] = None
 
     def undo(self, shape, worker):
-        """Move a worker whose room was tried for a shape and given back."""
+        """Move a worker whose capacity was taken for a shape and returned unused."""
         self.move(worker)
         if worker.bucket is not None:
-            shape.fresh[worker] = None
+            shape.freed[worker] = None
             shape.blocked = False
 
-    def use_shape(self, demand):
-        """Return the search state of a demand, kept until ``leave_shape``."""
+    def acquire_shape(self, demand):
+        """Return the search state of a demand, kept until ``release_shape``."""
         shape = self._shapes.get(demand)
         if shape is None:
             shape = self._idle_shapes.pop(demand, None) or shapes.Shape(demand)
@@ -108,74 +107,76 @@
         shape.users += 1
         return shape
 
-    def leave_shape(self, shape):
-        """Set the search state aside with its last user.
+    def release_shape(self, shape):
+        """Cache the search state when its last user releases it.
 
-        A stream of single tasks opens and closes its line with each of them; sorting
-        the buckets anew each time would cost more than the search.
+        A stream of single tasks opens and closes its line with each task; sorting the
+        buckets again each time would cost more than the search.
         """
         shape.users -= 1
         if shape.users:
             return
         del self._shapes[shape.demand]
         self._idle_shapes[shape.demand] = shape
-        if len(self._idle_shapes) > IDLE_SHAPES:
+        if len(self._idle_shapes) > MAX_IDLE_SHAPES:
             self._idle_shapes.popitem(last=False)
 
     def refresh(self):
-        """Tell each shape which workers have gained room for it since the last call."""
-        grown = self._grown
-        if not grown:
+        """Tell each shape which workers have freed capacity since the last call."""
+        freed_workers = self._freed
+        if not freed_workers:
             return
-        most = common.Resources(*map(max, zip(*(w.free for w in grown), strict=True)))
+        most = common.Resources(
+            *map(max, zip(*(w.free for w in freed_workers), strict=True))
+        )
         for shape in self._shapes.values():
             if shape.scanning and resources.fits(shape.demand, most):
-                shapes.refresh(shape, grown)
-        self._grown = {}
+                shapes.refresh(shape, freed_workers)
+        self._freed = {}
 
-    def search(self, shape, roomy=False):
-        """Return workers with room for a shape, tightest or roomiest first.
+    def search(self, shape, roomiest_first=False):
+        """Return workers that fit a shape, tightest or roomiest first.
 
-        An empty list says that there is none if ``shape.blocked`` is set; else that
-        none was found yet and the next call looks further.
+        If the list is empty and ``shape.blocked`` is set, there is none; if it isn't
+        set, none was found yet and the next call continues the search.
         """
         if shape.blocked:
             return []
         if not shape.scanning:
-            found = self._sample(shape, roomy)
+            found = self._sample(shape, roomiest_first)
             if found or shape.blocked:
                 return found
-        found = shapes.search_fresh(shape)
+        found = shapes.search_freed(shape)
         if not found and shape.overflow:
             shape.restart()
         elif not found:
             found = self._scan(shape)
         return found
 
-    def _sample(self, shape, roomy):
-        if shape.known < len(self._bucket_list):
-            self._learn_buckets(shape)
+    def _sample(self, shape, roomiest_first):
+        if shape.known_buckets < len(self._bucket_list):
+            self._add_new_buckets(shape)
         found = []
         cpu_millis, memory_mb, accelerators = shape.demand
-        buckets = reversed(shape.buckets) if roomy else shape.buckets
-        held = 0
+        buckets = reversed(shape.buckets) if roomiest_first else shape.buckets
+        worker_count = 0
         for _, _, workers in buckets:
             if not workers:
                 continue
-            held += len(workers)
+            worker_count += len(workers)
             start = int(self._random.random() * len(workers))
             for worker in workers[start : start + SAMPLES_PER_BUCKET]:
                 cpu, memory, idle = worker.free
                 if cpu_millis <= cpu and memory_mb <= memory and accelerators <= idle:
                     found.append(worker)
-            if len(found) >= shapes.CANDIDATES:
+            if len(found) >= shapes.MAX_CANDIDATES:
                 break
-        if not found and held <= SCAN_LIMIT:
-            found = self._look_at_all(shape)
+        if not found and worker_count <= SCAN_LIMIT:
+            found = self._search_buckets_fully(shape)
         return found
 
-    def _look_at_all(self, shape):
-        """Look at every worker of the shape's buckets; if none has room, that's all."""
+    def _search_buckets_fully(self, shape):
+        """Check every worker of the shape's buckets; block the shape if none fits."""
         found = [
             worker
             for _, _, workers in shape.buckets
@@ -188,12 +189,12 @@
             shape.blocked = True
         return found
 
-    def _learn_buckets(self, shape):
-        """Sort the buckets made since the last call in by how tight they are."""
+    def _add_new_buckets(self, shape):
+        """Insert the buckets created since the last call, in order of tightness."""
         cpu_millis, memory_mb, accelerators = shape.demand
         cpu, memory = level(cpu_millis), level(memory_mb)
         accelerators = min(accelerators, ACCELERATOR_LEVELS)
-        for number in range(shape.known, len(self._bucket_list)):
+        for number in range(shape.known_buckets, len(self._bucket_list)):
             bucket = self._bucket_list[number]
             if (
                 bucket.accelerators >= accelerators
@@ -202,7 +203,7 @@
             ):
                 tightness = (bucket.accelerators, bucket.cpu + bucket.memory)
                 bisect.insort(shape.buckets, (tightness, number, bucket.workers))
-        shape.known = len(self._bucket_list)
+        shape.known_buckets = len(self._bucket_list)
 
     def _scan(self, shape):
         first = shape.scanned
@@ -238,7 +239,7 @@
 
 
 def level(amount):
-    """Return the half octave of an amount: 64 and 95 share a level, 96 has the next."""
+    """Return the half octave of an amount: 64 and 95 share a level, 96 doesn't."""
     if amount <= 1:
         return 2 * amount if amount > 0 else 0
     length = amount.bit_length()
