--- a/alderreach/decisions/endings.py
+++ b/alderreach/decisions/endings.py
@@ -1,47 +1,48 @@
-"""What follows the end of an attempt: done, tried again, or given up on.
+"""Handles the end of an attempt: the task is done, is retried or is given up.
 
-Load: tasks that fail at once, by the thousand. Retried at once and without end, a
-broken batch run takes as many placements as the whole rest of the cell, and a broken
+Tasks may fail immediately, by the thousand. Retried at once and without a limit, a
+broken batch run takes as many placements as all other work of the cell, and a broken
 service starts and stops several times a second.
 
-A batch task is given up on after ``FAILURES_ALLOWED`` failures, and a job after
-``FAILURES_IN_A_ROW`` on at least ``WORKERS_TO_BLAME_JOB`` workers without one success
-in between. A service is restarted for ever, with a pause that doubles if its tasks end,
-or are lost with their workers soon after they start. A gang that
-loses a task is stopped as a whole and starts again as a whole.
+A batch task is given up after ``MAX_FAILURES`` failures, and a job after
+``MAX_CONSECUTIVE_FAILURES`` failures on at least ``MIN_FAILING_WORKERS`` workers
+without a success in between. A service is restarted indefinitely, after a pause that
+doubles each time a task ends, or is lost with its worker soon after its start. A gang
+that loses a task is stopped completely and all its tasks start again together.
 """
 
-# A second try survives a fault of the worker, a third the bad luck of two of them.
-FAILURES_ALLOWED = 3
-# A task lost so often with its worker has probably caused it.
-LOSSES_ALLOWED = 4
-FAILURES_IN_A_ROW = 32
-WORKERS_TO_BLAME_JOB = 3
-FIRST_PAUSE_MS = 100
-LONGEST_PAUSE_MS = 30_000
-# A service that ran for this long has recovered.
+# A second attempt survives a faulty worker, a third one two of them in a row.
+MAX_FAILURES = 3
+# A task lost this often together with its worker is probably the cause.
+MAX_LOSSES = 4
+MAX_CONSECUTIVE_FAILURES = 32
+MIN_FAILING_WORKERS = 3
+INITIAL_PAUSE_MS = 100
+MAX_PAUSE_MS = 30_000
+# A service task that ran for this long resets the pause.
 HEALTHY_MS = 60_000
-YOUNG_MS = 60_000
+# A loss this soon after the start counts against the task.
+EARLY_LOSS_MS = 60_000
 
 
-def end(state, judge, poison_jobs, run, outcome):
-    """Take in how a run ended."""
+def handle_end(state, quarantine, poison_jobs, run, outcome):
+    """Release what a run held and, by its outcome, finish or retry its task."""
     job = run.job
     state.release(run)
-    _count_end(job, run, outcome)
+    _update_counts(job, run, outcome)
     if outcome == "finished":
-        judge.finished(run)
+        quarantine.on_finished(run)
     elif outcome in ("failed", "refused"):
-        judge.failed(run, outcome)
+        quarantine.on_failed(run, outcome)
     else:
-        judge.ended_otherwise(run)
+        quarantine.on_ended_otherwise(run)
     if outcome == "lost":
-        poison_jobs.lost(run)
+        poison_jobs.on_run_lost(run)
     elif outcome in ("finished", "failed"):
-        poison_jobs.survived(job)
+        poison_jobs.clear_suspicion(job)
     if job.is_service():
-        # Also of a task that is no longer wanted: the service may grow again, and a
-        # worker takes a repeated attempt for one that it has started already.
+        # Kept also for a task that is no longer wanted: the service may grow again, and
+        # a worker takes a repeated attempt number for one that it has already started.
         job.attempts[run.number] = run.attempt
     if job.cancelled or run.number >= job.spec.tasks:
         return
@@ -51,24 +52,26 @@
         _end_task(state, run, outcome)
 
 
-def end_unseen(state, job, number, attempt, outcome):
-    """Note an end that an earlier owner saw of a task that runs nowhere now."""
+def record_past_end(state, job, number, attempt, outcome):
+    """Record an end that a previous owner saw, of a task that runs nowhere now."""
     if job.is_service() or outcome != "finished":
         job.attempts[number] = max(attempt, job.attempts.get(number, 0))
-    elif number < job.spec.tasks and job.waiting and number not in job.settled:
+    elif number < job.spec.tasks and job.waiting and number not in job.final_numbers:
         job.claim(number)
-        job.settle(number)
+        job.mark_final(number)
         job.finished += 1
         if not job.waiting:
             state.backlog.remove(job)
 
 
 def restore_losses(state, job, losses):
-    """Take up how often tasks were lost under earlier owners, and who was given up."""
+    """Restore the losses of tasks under previous owners; give up those at the limit."""
     for number, count in losses.items():
         job.losses[number] = count
-        is_open = job.waiting and number not in job.settled and number not in job.runs
-        if count >= LOSSES_ALLOWED and is_open:
+        is_open = (
+            job.waiting and number not in job.final_numbers and number not in job.runs
+        )
+        if count >= MAX_LOSSES and is_open:
             job.claim(number)
             _give_up_lost(job, number)
     if not job.waiting:
@@ -76,27 +79,27 @@
 
 
 def review(state, job):
-    """Let a job wait again whose pause is over; stop a gang that is left in part."""
+    """Enqueue a job whose pause is over; restart a gang that runs only in part."""
     if job.is_gang() and job.runs and job.waiting and not job.cancelled:
-        _regroup(state, job)
-    state.wait(job)
+        _restart_gang(state, job)
+    state.enqueue(job)
 
 
-def _count_end(job, run, outcome):
+def _update_counts(job, run, outcome):
     if outcome == "finished":
-        job.ends += 1
-        job.failed_in_a_row = 0
+        job.ended_runs += 1
+        job.consecutive_failures = 0
         job.failed_on.clear()
-        job.avoid = ""
+        job.avoided_worker_id = ""
     elif outcome == "failed":
-        job.ends += 1
-        job.failed_ends += 1
-        job.failed_in_a_row += 1
-        job.avoid = run.worker_id
-        if len(job.failed_on) < WORKERS_TO_BLAME_JOB:
+        job.ended_runs += 1
+        job.failed_runs += 1
+        job.consecutive_failures += 1
+        job.avoided_worker_id = run.worker_id
+        if len(job.failed_on) < MIN_FAILING_WORKERS:
             job.failed_on.add(run.worker_id)
     elif outcome == "refused":
-        job.avoid = run.worker_id
+        job.avoided_worker_id = run.worker_id
 
 
 def _end_service(state, run, outcome):
@@ -104,76 +107,79 @@
     is_pausing = state.now_ms < job.not_before_ms
     if outcome in ("finished", "failed"):
         _pause(state, run)
-    elif _is_lost_young(state, run, outcome) and not is_pausing:
-        # Once for all that a rack takes with it.
+    elif _is_early_loss(state, run, outcome) and not is_pausing:
+        # One pause for all tasks lost with a rack.
         _pause(state, run)
-    job.return_task(run.number)
-    state.wait(job, first=True)
+    job.requeue(run.number)
+    state.enqueue(job, first=True)
 
 
 def _pause(state, run):
     job = run.job
     if state.now_ms - run.started_ms > HEALTHY_MS:
         job.restarts = 0
-    pause_ms = min(FIRST_PAUSE_MS << min(job.restarts, 16), LONGEST_PAUSE_MS)
+    pause_ms = min(INITIAL_PAUSE_MS << min(job.restarts, 16), MAX_PAUSE_MS)
     job.restarts += 1
     job.not_before_ms = state.now_ms + pause_ms
     state.backlog.remove(job)
-    state.review_at(job.not_before_ms, job)
+    state.schedule_review(job.not_before_ms, job)
 
 
 def _end_task(state, run, outcome):
     job, number = run.job, run.number
     if outcome == "finished":
         job.finished += 1
-        job.settle(number)
-        # The rest of a gang may have been waiting for this one to end.
-        state.wait(job, first=True)
+        job.mark_final(number)
+        # The other tasks of a gang may have been waiting for this one to end.
+        state.enqueue(job, first=True)
         return
-    if job.given_up or _is_given_up(state, run, outcome):
+    if job.given_up or _exhausts_attempts(state, run, outcome):
         if outcome == "lost":
             _give_up_lost(job, number)
         else:
             job.failed += 1
-            job.settle(number)
-        if job.is_gang() or _is_hopeless(state, job):
+            job.mark_final(number)
+        if job.is_gang() or _is_broken(state, job):
             _give_up_rest(state, job)
         return
     job.attempts[number] = run.attempt
-    job.return_task(number, failed=outcome == "failed")
-    if _is_hopeless(state, job):
+    job.requeue(number, failed=outcome == "failed")
+    if _is_broken(state, job):
         _give_up_rest(state, job)
     elif job.is_gang() and job.runs:
-        _regroup(state, job)
+        _restart_gang(state, job)
     else:
-        state.wait(job, first=True)
+        state.enqueue(job, first=True)
 
 
 def _give_up_lost(job, number):
-    """Give up a task that was lost too often; the count stays for the next owner."""
+    """Give up a task that was lost too often; keep its count for the next owner."""
     job.failed += 1
-    job.settle(number)
-    job.losses[number] = LOSSES_ALLOWED
+    job.mark_final(number)
+    job.losses[number] = MAX_LOSSES
 
 
-def _is_given_up(state, run, outcome):
+def _exhausts_attempts(state, run, outcome):
     job, number = run.job, run.number
     if outcome == "failed":
         job.failures[number] = job.failures.get(number, 0) + 1
-        return job.failures[number] >= FAILURES_ALLOWED
-    if _is_lost_young(state, run, outcome):
+        return job.failures[number] >= MAX_FAILURES
+    if _is_early_loss(state, run, outcome):
         job.losses[number] = job.losses.get(number, 0) + 1
-        return job.losses[number] >= LOSSES_ALLOWED
+        return job.losses[number] >= MAX_LOSSES
     return False
 
 
-def _is_lost_young(state, run, outcome):
-    return outcome == "lost" and state.now_ms - run.started_ms <= YOUNG_MS
+def _is_early_loss(state, run, outcome):
+    return outcome == "lost" and state.now_ms - run.started_ms <= EARLY_LOSS_MS
 
 
-def _is_hopeless(state, job):
-    enough = min(WORKERS_TO_BLAME_JOB, len(state.cell.workers))
-    return job.failed_in_a_row >= FAILURES_IN_A_ROW and len(job.failed_on) >= enough
+def _is_broken(state, job):
+    min_workers = min(MIN_FAILING_WORKERS, len(state.cell.workers))
+    return (
+        job.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+        and len(job.failed_on) >= min_workers
+    )
 
 
 def _give_up_rest(state, job):
@@ -186,8 +192,8 @@
             state.stop(run)
 
 
-def _regroup(state, job):
-    """Stop what is left of a gang; it starts again as a whole."""
+def _restart_gang(state, job):
+    """Stop the running tasks of a gang, so that all its tasks start again together."""
     state.backlog.remove(job)
     for run in job.runs.values():
         state.stop(run, run.gentlest_stop())
--- a/alderreach/decisions/scheduler.py
+++ b/alderreach/decisions/scheduler.py
@@ -1,9 +1,9 @@
-"""Decides which task starts where: the one object that a placer drives.
+"""Decides which task starts where: the object that a placer drives.
 
-A placer feeds it with what it knows (teams, workers, jobs, what runs, what ended) and
-calls ``tick`` several times a second; the decisions come back as a list and count as
-carried out. The clock and the random generator are passed in, so that a session can be
-replayed.
+A placer passes in what it knows (teams, workers, jobs, running tasks, ends of tasks)
+and calls ``tick`` several times a second. ``tick`` returns a list of decisions, which
+count as carried out. The clock and the random generator are passed in, so that a
+session can be replayed.
 
 >>> import random
 >>> from alderreach.core.generated import common
@@ -11,10 +11,10 @@
 >>> scheduler.tick(0, 100)
 []
 
-Load: thousands of placements a second, and cancellations in waves of as many.
-``budget`` bounds the work of one tick, whatever is waiting: each search, start and stop
-costs one of it. Stops get at most half, so that a wave of cancellations can't keep new
-work waiting; only a gang, which is never cut, may exceed it.
+It has to make thousands of placements a second, and as many cancellations in waves.
+``budget`` bounds the work of one tick, however much is waiting: each search, start and
+stop uses one unit of it. Stops get at most half of it, so that a wave of cancellations
+can't delay new work; only a gang, which is always placed as a whole, may exceed it.
 """
 
 import collections
@@ -41,9 +41,9 @@
 Stop = actions.Stop
 Impossible = actions.Impossible
 
-REVIEWS_PER_TICK = 64
-# Ended jobs whose status can still be asked for.
-STATUSES_KEPT = 10_000
+MAX_REVIEWS_PER_TICK = 64
+# Ended jobs whose status can still be queried.
+MAX_STATUSES_KEPT = 10_000
 
 
 class Scheduler:
@@ -51,46 +51,48 @@
 
     def __init__(self, random):
         self._state = state.State(random)
-        self._judge = quarantine.Judge(self._state)
+        self._quarantine = quarantine.WorkerQuarantine(self._state)
         self._parking = impossible.Parking(self._state)
-        self._poison_jobs = poison_jobs.PoisonJobs(self._state, self._parking.condemn)
+        self._poison_jobs = poison_jobs.PoisonJobs(
+            self._state, self._parking.park_permanently
+        )
         self._observer = usage.Observer(self._state)
         self._done = collections.OrderedDict()
 
     def set_team(self, team):
-        """Take over a ``common.Team``."""
+        """Add or replace a ``common.Team``."""
         self._state.ledger.set_team(team)
-        self._parking.supply_changed()
+        self._parking.on_supply_changed()
 
     def remove_team(self, name):
         """Start nothing more for a team."""
         self._state.ledger.remove_team(name)
 
     def add_worker(self, worker_id, vm, rack, capacity):
-        """Take up a worker, with the tasks that are known to run on it."""
+        """Add a worker, with the tasks that are known to run on it."""
         known = self._state.cell.workers.get(worker_id)
         if known is not None and known.capacity == capacity:
             return
         worker = self._state.add_worker(worker_id, vm, rack, capacity)
-        self._judge.worker_added(worker)
-        self._parking.supply_changed()
+        self._quarantine.on_worker_added(worker)
+        self._parking.on_supply_changed()
 
     def remove_worker(self, worker_id):
-        """Forget a worker; its tasks are reported as lost one by one."""
+        """Remove a worker; its tasks are reported as lost one by one."""
         self._state.remove_worker(worker_id)
-        self._judge.worker_removed(worker_id)
-        self._poison_jobs.worker_removed(worker_id)
+        self._quarantine.on_worker_removed(worker_id)
+        self._poison_jobs.on_worker_removed(worker_id)
         self._observer.forget(worker_id)
 
     def set_open(self, worker_id, is_open):
-        """Let a worker take new work or not."""
+        """Set whether a worker takes new work."""
         worker = self._state.cell.workers.get(worker_id)
         if worker is not None and worker.is_open != is_open:
             worker.is_open = is_open
-            self._state.cell.reconsider(worker)
+            self._state.cell.reindex(worker)
 
     def submit(self, job, now_ms):
-        """Let a job wait; a service submitted again takes the new number of tasks."""
+        """Add a job; a service that is submitted again gets the new number of tasks."""
         self._state.now_ms = now_ms
         known = self._state.jobs.get(job.job_id)
         if known is not None:
@@ -98,13 +100,13 @@
             return
         if job.job_id in self._done:
             return
-        given = self._observer.given_to(job)
-        waiting = self._state.jobs[job.job_id] = jobs.JobState(given, job.task)
-        self._state.adopt_orphans(waiting)
-        self._parking.admit(waiting)
+        sized = self._observer.with_learned_size(job)
+        job_state = self._state.jobs[job.job_id] = jobs.JobState(sized, job.task)
+        self._state.adopt_orphans(job_state)
+        self._parking.admit(job_state)
 
     def cancel(self, job_id, now_ms):
-        """Let nothing more of a job start; its running tasks are stopped."""
+        """Start nothing more of a job, and stop its running tasks."""
         self._state.now_ms = now_ms
         job = self._state.jobs.get(job_id)
         if job is None or job.cancelled:
@@ -118,12 +120,12 @@
         self._close_if_done(job)
 
     def restore(self, task_id, attempt, job_id, worker_id):
-        """Take up a task that is known to run.
+        """Add a task that is known to run.
 
-        While its job is unknown, so is what it holds: its worker takes no work until
-        the job is submitted or the task has ended.
+        While its job is unknown, so are the resources that it holds: its worker takes
+        no work until the job is submitted or the task has ended.
         """
-        number = _number(task_id)
+        number = _task_number(task_id)
         job = self._state.jobs.get(job_id)
         if job is None:
             self._state.add_orphan(job_id, number, attempt, worker_id)
@@ -131,61 +133,63 @@
             self._state.adopt(job, number, attempt, worker_id)
 
     def losses_of(self, job_id):
-        """Return how often tasks, by number, were lost soon after their start."""
+        """Return by task number how often tasks were lost soon after their start."""
         job = self._state.jobs.get(job_id)
         return dict(job.losses) if job else {}
 
     def restore_losses(self, job_id, losses):
-        """Take up what ``losses_of`` gave an earlier owner, or an empty dict."""
+        """Restore what ``losses_of`` returned to an earlier owner, or an empty dict."""
         job = self._state.jobs.get(job_id)
         if job is not None and losses:
             endings.restore_losses(self._state, job, losses)
             self._close_if_done(job)
 
     def task_started(self, task_id, now_ms):
-        """Note that a worker has taken a task; its run time counts from here."""
+        """Record that a worker has started a task; its run time counts from now."""
         self._state.now_ms = now_ms
         job = self._state.jobs.get(_job_id(task_id))
-        run = job and job.runs.get(_number(task_id))
+        run = job and job.runs.get(_task_number(task_id))
         if run:
             run.started_ms = now_ms
 
     def task_ended(self, task_id, attempt, outcome, now_ms):
-        """Note how an attempt ended; it surely no longer runs.
+        """Record how an attempt ended; it must no longer run.
 
         ``outcome`` is finished, failed, lost, refused, stopped or checkpointed.
         """
         self._state.now_ms = now_ms
-        number = _number(task_id)
+        number = _task_number(task_id)
         job = self._state.jobs.get(_job_id(task_id))
         if job is None:
             self._state.end_orphan(_job_id(task_id), number)
             return
         run = job.runs.get(number)
         if run is None:
-            endings.end_unseen(self._state, job, number, attempt, outcome)
+            endings.record_past_end(self._state, job, number, attempt, outcome)
         elif run.attempt == attempt:
-            endings.end(self._state, self._judge, self._poison_jobs, run, outcome)
+            endings.handle_end(
+                self._state, self._quarantine, self._poison_jobs, run, outcome
+            )
         self._close_if_done(job)
 
     def observe_usage(self, worker_id, used):
-        """Take in what a worker reports, with a lag, that its tasks use."""
+        """Record the usage of its tasks that a worker reports, with a lag."""
         worker = self._state.cell.workers.get(worker_id)
         if worker is not None:
             self._observer.observe(worker, used)
 
     def tick(self, now_ms, budget):
-        """Return the next decisions, about ``budget`` of them."""
-        leader = self._state
-        leader.now_ms = now_ms
-        leader.decisions = decisions = []
-        leader.cell.index.refresh()
+        """Return the next decisions, at most about ``budget`` of them."""
+        cell_state = self._state
+        cell_state.now_ms = now_ms
+        cell_state.decisions = decisions = []
+        cell_state.cell.index.refresh()
         self._emit_stops(budget // 2)
         self._review()
         self._parking.check_parked()
-        reservations.serve(leader)
+        reservations.serve(cell_state)
         self._place_urgent(budget)
-        self._judge.probe(leader.backlog.lines)
+        self._quarantine.start_probes(cell_state.backlog.lines)
         self._place_normal(budget)
         self._plan_ahead()
         self._emit_stops(budget - len(decisions))
@@ -197,14 +201,14 @@
         if job is None:
             return self._done.get(job_id)
         if job.parked:
-            word = "impossible" if job.named else "waiting"
-            return state.status(job, word, job.parked)
+            state_name = "impossible" if job.reported else "waiting"
+            return state.job_status(job, state_name, job.parked)
         if job.runs:
-            return state.status(job, "running", "")
-        return state.status(job, "waiting", self._why_waiting(job))
+            return state.job_status(job, "running", "")
+        return state.job_status(job, "waiting", self._why_waiting(job))
 
-    def reserved(self, worker_id):
-        """Return what is given out on a worker."""
+    def allocated(self, worker_id):
+        """Return the resources that are allocated on a worker."""
         worker = self._state.cell.workers.get(worker_id)
         if worker is None:
             return resources.NOTHING
@@ -227,34 +231,34 @@
         return "no room" if job.line is not None else "pausing after a failure"
 
     def _place_urgent(self, budget):
-        leader = self._state
-        band = leader.backlog.bands[backlog.URGENT]
-        rounds.place_band(leader, band, budget - len(leader.decisions))
-        backfill.use_reserved(leader, rounds.blocked_lines(leader, band))
-        preemption.plan(leader, rounds.blocked_lines(leader, band))
+        cell_state = self._state
+        band = cell_state.backlog.bands[backlog.URGENT]
+        rounds.place_band(cell_state, band, budget - len(cell_state.decisions))
+        backfill.use_reserved(cell_state, rounds.blocked_lines(cell_state, band))
+        preemption.plan(cell_state, rounds.blocked_lines(cell_state, band))
 
     def _place_normal(self, budget):
-        leader = self._state
-        band = leader.backlog.bands[backlog.NORMAL]
-        rounds.place_band(leader, band, budget - len(leader.decisions))
-        backfill.fill(leader, rounds.blocked_lines(leader, band))
+        cell_state = self._state
+        band = cell_state.backlog.bands[backlog.NORMAL]
+        rounds.place_band(cell_state, band, budget - len(cell_state.decisions))
+        backfill.fill(cell_state, rounds.blocked_lines(cell_state, band))
 
     def _plan_ahead(self):
-        """Reserve room for who is passed over; park who can't run at all."""
-        leader = self._state
-        for band in leader.backlog.bands:
+        """Reserve capacity for skipped lines, and park jobs that can't run at all."""
+        cell_state = self._state
+        for band in cell_state.backlog.bands:
             self._parking.check_lines(rounds.stuck_lines(band))
-        self._parking.name_due()
+        self._parking.report_due()
         blocked = [
             line
-            for band in leader.backlog.bands
-            for line in rounds.blocked_lines(leader, band)
+            for band in cell_state.backlog.bands
+            for line in rounds.blocked_lines(cell_state, band)
         ]
-        draining.plan(leader, blocked)
-        draining.end_vain_savings(leader, blocked)
+        draining.plan(cell_state, blocked)
+        draining.end_unused_savings(cell_state, blocked)
 
     def _review(self):
-        for job in self._state.due_reviews(REVIEWS_PER_TICK):
+        for job in self._state.due_reviews(MAX_REVIEWS_PER_TICK):
             if self._state.jobs.get(job.spec.job_id) is job:
                 self._poison_jobs.review(job)
                 endings.review(self._state, job)
@@ -267,7 +271,7 @@
         for number, run in job.runs.items():
             if number >= tasks:
                 self._state.stop(run)
-        self._state.wait(job)
+        self._state.enqueue(job)
 
     def _emit_stops(self, limit):
         stops, decisions = self._state.stops, self._state.decisions
@@ -281,15 +285,15 @@
     def _close_if_done(self, job):
         if not job.is_done():
             return
-        word = "failed" if job.failed else "finished"
+        state_name = "failed" if job.failed else "finished"
         if job.cancelled:
-            word = "cancelled"
+            state_name = "cancelled"
         self._state.backlog.remove(job)
         self._parking.forget(job)
         self._poison_jobs.forget(job)
         del self._state.jobs[job.spec.job_id]
-        self._done[job.spec.job_id] = state.status(job, word, "")
-        if len(self._done) > STATUSES_KEPT:
+        self._done[job.spec.job_id] = state.job_status(job, state_name, "")
+        if len(self._done) > MAX_STATUSES_KEPT:
             self._done.popitem(last=False)
 
 
@@ -297,5 +301,5 @@
     return task_id.rpartition("/")[0]
 
 
-def _number(task_id):
+def _task_number(task_id):
     return int(task_id.rpartition("/")[2])
