--- a/alderreach/ops/controller/director.py
+++ b/alderreach/ops/controller/director.py
@@ -26,7 +26,7 @@
 CLOCKS_WAIT_MS = 3000
 
 
-class Leading:
+class LeadershipTerm:
     """One term: its state, its planner, and how requests reach the quorum."""
 
     def __init__(self, epoch, environment):
@@ -70,7 +70,7 @@
         self._own_address = context.settings.listen.peers
         self._next_housekeeping_ms = 0
         self._watch = settings_watch.SettingsWatch(context.settings_path, "controller")
-        self.seeker = discovery.Seeker(
+        self.seeker = discovery.ControllerFinder(
             self._own_address,
             discovery.peer_addresses(
                 context.settings.discovery.seeds, context.settings.discovery.peer_port
@@ -110,9 +110,9 @@
         if leading is None or mail.epoch != leading.leader.epoch:
             return
         if isinstance(mail, target_link.OrderAnswered):
-            order_answers.order_answered(leading.leader, mail)
+            order_answers.handle_order_answer(leading.leader, mail)
         elif isinstance(mail, target_link.PollAnswered):
-            worker_polls.poll_answered(leading.leader, mail)
+            worker_polls.handle_poll_answer(leading.leader, mail)
 
     def deliver(self, received):
         """Take a message of another process."""
@@ -122,7 +122,7 @@
         elif isinstance(message, cell.Greeting):
             self._greeted(message, address)
         elif isinstance(message, cell.GreetingReply):
-            self.seeker.heard(message, address, self._clock.monotonic_ms())
+            self.seeker.handle_reply(message, address, self._clock.monotonic_ms())
         elif isinstance(message, cell.PermissionAnswer):
             self._permission_answered(message)
         elif isinstance(message, cell.PermissionQuery):
@@ -152,7 +152,7 @@
         if leading is None or not self._may_act(now_ms):
             return
         leading.planner.plan(now_ms)
-        batch, effects = leading.leader.take_batch()
+        batch, effects = leading.leader.pop_batch()
         if batch is None:
             return
         index = self._port.propose(codec.pack(batch))
@@ -191,7 +191,7 @@
             self._leading = None
         if epoch is not None and self._leading is None:
             self._record("leadership_gained", epoch=epoch)
-            self._leading = Leading(epoch, self._environment())
+            self._leading = LeadershipTerm(epoch, self._environment())
 
     def _is_in_charge(self):
         """Whether it leads and has applied all that earlier leaders committed."""
@@ -213,7 +213,7 @@
             cell_offset_ms=self._cell_offset_ms,
             is_time_known=self._time_judge(),
             helpers=self._helpers,
-            ask=self._ask,
+            send_query=self._ask,
             open_link=self._open_link,
             contact=self._contact,
         )
@@ -272,7 +272,7 @@
             return
         epoch, _slash, query_id = message.query_id.partition("/")
         if epoch == str(self._leading.leader.epoch):
-            permission_answers.take(
+            permission_answers.handle_answer(
                 self._leading.leader, message._replace(query_id=query_id)
             )
 
--- a/alderreach/ops/controller/discovery.py
+++ b/alderreach/ops/controller/discovery.py
@@ -40,13 +40,13 @@
 
     address: str
     epoch: int
-    heard_ms: int
+    last_contact_ms: int
 
 
 NOBODY = Leadership("", 0, 0)
 
 
-class Seeker:
+class ControllerFinder:
     """A process's view of its controllers; used by one task or under its lock."""
 
     def __init__(self, own_address, seeds, role, failure_domain, clock, send):
@@ -77,7 +77,7 @@
         for address in self._to_greet(now_ms):
             self._send(address, greeting)
 
-    def heard(self, reply, sender, now_ms):
+    def handle_reply(self, reply, sender, now_ms):
         """Take a GreetingReply that came from ``sender``.
 
         Only the leader itself proves that it is there. Refreshed by hearsay, a leader
@@ -101,7 +101,7 @@
         """Whether a leader was heard of lately."""
         leadership = self.leadership
         return bool(leadership.address) and (
-            now_ms - leadership.heard_ms < SILENT_AFTER_MS
+            now_ms - leadership.last_contact_ms < SILENT_AFTER_MS
         )
 
     def is_isolated(self, now_ms):
@@ -114,17 +114,17 @@
         if self.has_leader(now_ms):
             return False
         known = self.controllers()
-        answering = self.answering(now_ms)
-        silent_ms = now_ms - max(self.leadership.heard_ms, self._started_ms)
+        answering = self.responsive_controllers(now_ms)
+        silent_ms = now_ms - max(self.leadership.last_contact_ms, self._started_ms)
         settled = silent_ms >= SILENT_AFTER_MS + GREETING_INTERVAL_MS
         return settled and len(known) >= 3 and 3 * len(answering) <= len(known)
 
-    def answering(self, now_ms):
+    def responsive_controllers(self, now_ms):
         """Addresses of controllers that answered one of the last two greetings."""
         return [
             address
-            for address, heard_ms in list(self._heard.items())
-            if now_ms - heard_ms < GREETING_INTERVAL_MS * 2
+            for address, last_contact_ms in list(self._heard.items())
+            if now_ms - last_contact_ms < GREETING_INTERVAL_MS * 2
         ]
 
     def _to_greet(self, now_ms):
@@ -136,7 +136,7 @@
 class _Greeter(typing.NamedTuple):
     """When a process greeted last, and its wall clock less the steady one here."""
 
-    heard_ms: int
+    last_contact_ms: int
     offset_ms: int
     role: str
     failure_domain: str
@@ -158,7 +158,10 @@
         """Addresses of those of a role heard lately, those of one domain first."""
         near, far = [], []
         for address, greeter in self._seen.items():
-            if now_ms - greeter.heard_ms < SILENT_AFTER_MS and greeter.role == role:
+            if (
+                now_ms - greeter.last_contact_ms < SILENT_AFTER_MS
+                and greeter.role == role
+            ):
                 is_near = greeter.failure_domain == nearest_domain
                 (near if is_near else far).append(address)
         return near + far
@@ -166,7 +169,7 @@
     def forget_silent(self, now_ms):
         """Drop whom nobody heard of for long."""
         for address, greeter in list(self._seen.items()):
-            if now_ms - greeter.heard_ms > 10 * SILENT_AFTER_MS:
+            if now_ms - greeter.last_contact_ms > 10 * SILENT_AFTER_MS:
                 del self._seen[address]
 
     def cell_offset_ms(self, own_wall_ms, now_ms):
@@ -187,5 +190,5 @@
         return [
             greeter.offset_ms
             for greeter in self._seen.values()
-            if now_ms - greeter.heard_ms < SILENT_AFTER_MS
+            if now_ms - greeter.last_contact_ms < SILENT_AFTER_MS
         ]
--- a/alderreach/ops/controller/leader_state.py
+++ b/alderreach/ops/controller/leader_state.py
@@ -24,8 +24,8 @@
     ``committed()`` returns the cell's state as the log has it, ``cell_offset_ms()``
     what added to the steady clock gives the cell's time, ``is_time_known()`` whether
     that rests on more than one process's clock, ``helpers()`` the peers that
-    may put questions to the permission service, and ``ask(question)`` gives one of
-    them a ``permissions.Question``.
+    may put questions to the permission service, and ``send_query(question)`` gives
+    one of them a ``permissions.Question``.
     """
 
     settings: typing.Any
@@ -37,7 +37,7 @@
     cell_offset_ms: typing.Callable
     is_time_known: typing.Callable
     helpers: typing.Callable
-    ask: typing.Callable
+    send_query: typing.Callable
     open_link: typing.Callable
     contact: str
 
@@ -113,7 +113,7 @@
         else:
             self.environment.confirm(effect, lambda: None)
 
-    def take_batch(self):
+    def pop_batch(self):
         """What has to be logged now, with its effects; (None, []) if nothing has."""
         if not self._changes:
             return None, []
--- a/alderreach/ops/controller/order_answers.py
+++ b/alderreach/ops/controller/order_answers.py
@@ -18,7 +18,7 @@
 HOLD_BACK_MS = 500
 
 
-def order_answered(leader, mail):
+def handle_order_answer(leader, mail):
     """Take the answer to a Start, Stop or Pace."""
     worker = leader.workers.get(mail.target_id)
     if worker is None:
--- a/alderreach/ops/controller/permission_answers.py
+++ b/alderreach/ops/controller/permission_answers.py
@@ -1,7 +1,7 @@
 """The permission service's answers, as a leader takes them up."""
 
 
-def take(leader, message):
+def handle_answer(leader, message):
     """Note a ``cell.PermissionAnswer``; the steps it concerns may be placed now."""
     question = leader.permissions.find(message.query_id)
     if question is None:
--- a/alderreach/ops/controller/permission_calls.py
+++ b/alderreach/ops/controller/permission_calls.py
@@ -31,7 +31,7 @@
         self._thread.start()
         return self
 
-    def put(self, query, reply_address):
+    def enqueue(self, query, reply_address):
         """Take a ``cell.PermissionQuery`` of the leader at ``reply_address``."""
         self._queue.put((query, reply_address))
 
--- a/alderreach/ops/controller/permission_queries.py
+++ b/alderreach/ops/controller/permission_queries.py
@@ -121,7 +121,7 @@
         )
         if question is None:
             return
-        leader.environment.ask(question)
+        leader.environment.send_query(question)
         leader.environment.record(
             "permission_asked",
             task=".".join(str(part) for part in group),
--- a/alderreach/ops/controller/placing.py
+++ b/alderreach/ops/controller/placing.py
@@ -37,7 +37,7 @@
         self._ranks = {}
         self._ranked_config = None
         self._queries = permission_queries.PermissionQueries(leader)
-        self._preempting = preempting.Preempting(leader, self._rank)
+        self._preempting = preempting.Preemptions(leader, self._rank)
         self._wait_reports = wait_reports.WaitReports(leader)
         # Occurrences that wait for their time, by that time.
         self._timed = []
@@ -84,7 +84,7 @@
         self._refresh_pools(now_ms)
         self._rank_anew_if_configured()
         self._queue.refresh(leader.cell_ms())
-        self._go_through(now_ms)
+        self._consider_groups(now_ms)
         self._queries.ahead(now_ms)
 
     def _refresh_pools(self, now_ms):
@@ -98,7 +98,7 @@
                 due_ms = self._queries.next_ms(group, now_ms)
                 self._due_ms[group] = min(self._due_ms[group], due_ms)
 
-    def _go_through(self, now_ms):
+    def _consider_groups(self, now_ms):
         """Consider the groups that something changed for, in order of urgency."""
         leader = self._leader
         for group in leader.revisited:
--- a/alderreach/ops/controller/preempting.py
+++ b/alderreach/ops/controller/preempting.py
@@ -19,7 +19,7 @@
     until_ms: int
 
 
-class Preempting:
+class Preemptions:
     """What was stopped in one term, and for whom.
 
     ``rank_of(job, group)`` returns the ``order.Rank`` of a group.
--- a/alderreach/ops/controller/service.py
+++ b/alderreach/ops/controller/service.py
@@ -13,7 +13,7 @@
 from alderreach.utils import event_loop
 
 
-class Outside(typing.NamedTuple):
+class ExternalServices(typing.NamedTuple):
     """How the world around the cell is spoken to; given by the thin main.
 
     ``calls`` is a ``target_link.Calls``. ``ask_permission(step, targets)`` returns a
@@ -52,7 +52,7 @@
     def extend(port):
         made.append(
             director.Director(
-                context, port, open_link, asking.put, context.timeline.record
+                context, port, open_link, asking.enqueue, context.timeline.record
             )
         )
         return made[0]
--- a/alderreach/ops/controller/worker_polls.py
+++ b/alderreach/ops/controller/worker_polls.py
@@ -44,7 +44,7 @@
     leader.links[worker.target_id].poll(worker.poll)
 
 
-def poll_answered(leader, mail):
+def handle_poll_answer(leader, mail):
     """Take a worker's lists; an answer to another poll than the last is too old."""
     worker = leader.workers.get(mail.target_id)
     if worker is None or worker.poll_sent_ms is None or mail.poll is not worker.poll:
--- a/alderreach/ops/frontend/service.py
+++ b/alderreach/ops/frontend/service.py
@@ -24,7 +24,7 @@
 
     ``serve_callers(context, leader_calls, in_flight, is_ready)`` opens the listeners of
     callers and of the balancer's checks; ``ask_permission`` is as in
-    ``controller.service.Outside``.
+    ``controller.service.ExternalServices``.
     """
 
     ask_permission: typing.Callable
@@ -38,7 +38,7 @@
         self._context = context
         self._clock = context.clock
         settings = context.settings
-        self._seeker = discovery.Seeker(
+        self._seeker = discovery.ControllerFinder(
             settings.listen.peers,
             discovery.peer_addresses(
                 settings.discovery.seeds, settings.discovery.peer_port
@@ -75,7 +75,7 @@
         if isinstance(message, cell.CellReply):
             self._calls.deliver(message)
         elif isinstance(message, cell.PermissionQuery):
-            self._permission_calls.put(message, received.reply_address)
+            self._permission_calls.enqueue(message, received.reply_address)
         else:
             self._task.put(received)
 
@@ -110,7 +110,7 @@
     def _handle(self, received):
         if isinstance(received.message, cell.GreetingReply):
             had_leader = self._seeker.leadership
-            self._seeker.heard(
+            self._seeker.handle_reply(
                 received.message, received.reply_address, self._clock.monotonic_ms()
             )
             leadership = self._seeker.leadership
@@ -130,8 +130,8 @@
                 "contact_changed",
                 contact=contact,
                 was=self._contact,
-                silent_ms=now_ms - seeker.leadership.heard_ms,
-                answering=seeker.answering(now_ms),
+                silent_ms=now_ms - seeker.leadership.last_contact_ms,
+                answering=seeker.responsive_controllers(now_ms),
             )
             self._contact = contact
 
--- a/alderreach/scripts/controller.py
+++ b/alderreach/scripts/controller.py
@@ -8,7 +8,7 @@
 
 
 def _build(context):
-    outside = service.Outside(
+    outside = service.ExternalServices(
         targets.calls(),
         targets.permission_asker(context.settings.cell.permission),
         control.serve,
--- a/tools/virtual_cell.py
+++ b/tools/virtual_cell.py
@@ -225,7 +225,7 @@
         self._epoch += 1
         now_ms = lambda: int(self.loop.now_ms)
         settings = virtual_settings.parsed()
-        self.leading = director.Leading(
+        self.leading = director.LeadershipTerm(
             self._epoch,
             leader_state.Environment(
                 settings=settings,
@@ -237,7 +237,7 @@
                 cell_offset_ms=lambda: 0,
                 is_time_known=lambda: True,
                 helpers=lambda: self._helpers,
-                ask=self._ask,
+                send_query=self._ask,
                 open_link=self._open_link,
                 contact="",
             ),
@@ -271,10 +271,10 @@
         if mail.epoch != self._epoch:
             return
         if isinstance(mail, target_link.OrderAnswered):
-            order_answers.order_answered(self.leading.leader, mail)
+            order_answers.handle_order_answer(self.leading.leader, mail)
         else:
             self.polls += 1
-            worker_polls.poll_answered(self.leading.leader, mail)
+            worker_polls.handle_poll_answer(self.leading.leader, mail)
 
     def _lead(self, act):
         """Run some of the leader's code, plan, and have the decisions committed."""
@@ -283,7 +283,7 @@
         began_s = time.process_time()
         act()
         self.leading.planner.plan(int(self.loop.now_ms))
-        batch, effects = self.leading.leader.take_batch()
+        batch, effects = self.leading.leader.pop_batch()
         took_s = time.process_time() - began_s
         self.cpu_s += took_s
         self.cpu_by_second[int(self.loop.now_ms // 1000)] += took_s
@@ -369,7 +369,9 @@
 
         def tell():
             if self.leading is leading:
-                self._lead(lambda: permission_answers.take(leading.leader, answer))
+                self._lead(
+                    lambda: permission_answers.handle_answer(leading.leader, answer)
+                )
 
         self.loop.after(2 * HOP_MS + (0 if is_cut else took_ms), tell)
 
