--- a/alderreach/ops/controller/director.py
+++ b/alderreach/ops/controller/director.py
@@ -23,7 +23,7 @@
 
 # A new leader waits this long at the most for others' clocks; processes that have lost
 # their leader greet all controllers they know three times a second.
-CLOCKS_WAIT_MS = 3000
+MAX_CLOCKS_WAIT_MS = 3000
 
 
 class LeadershipTerm:
@@ -32,11 +32,11 @@
     def __init__(self, epoch, environment):
         self.leader = leader_state.LeaderState(epoch, environment)
         self.planner = placing.Planner(self.leader)
-        self.leader.on_run_ended = self.planner.changed
+        self.leader.on_run_ended = self.planner.on_run_ended
         self.record = environment.record
         self.committed = environment.committed
         self._environment = environment
-        self.batches = {}
+        self.pending_effects = {}
         running.take_over(self.leader)
 
     def confirm(self, act):
@@ -52,25 +52,25 @@
     """See ``extension.py`` for when its methods are called.
 
     ``open_link(record, epoch, put)`` makes a ``target_link.TargetLink``, and
-    ``ask_here(query, address)`` has this process put a question to the permission
+    ``query_service(query, address)`` has this process put a question to the permission
     service. ``record`` takes events for the log.
     """
 
-    def __init__(self, context, port, open_link, ask_here, record):
+    def __init__(self, context, port, open_link, query_service, record):
         self._context = context
         self._clock = context.clock
-        self._post = context.transport.send
+        self._send = context.transport.send
         self._port = port
         self._make_link = open_link
-        self._ask_here = ask_here
+        self._query_service = query_service
         self._record = record
-        self._greeters = discovery.Greeters()
-        self._leading = None
+        self._peers = discovery.RecentPeers()
+        self._term = None
         self._contact = context.settings.cell.control
         self._own_address = context.settings.listen.peers
         self._next_housekeeping_ms = 0
         self._watch = settings_watch.SettingsWatch(context.settings_path, "controller")
-        self.seeker = discovery.ControllerFinder(
+        self.finder = discovery.ControllerFinder(
             self._own_address,
             discovery.peer_addresses(
                 context.settings.discovery.seeds, context.settings.discovery.peer_port
@@ -78,14 +78,14 @@
             "controller",
             context.settings.process.failure_domain,
             context.clock,
-            self._post,
+            self._send,
         )
 
         self.leader_calls = leader_calls.LeaderCalls(
             self._own_address,
             self._addresses,
             self._is_isolated,
-            self._post,
+            self._send,
             context.clock,
             record,
         )
@@ -94,86 +94,86 @@
         """Where to bring a request of this process itself, any thread may ask."""
         return [
             self._port.leader_address(),
-            *self.seeker.controllers(),
+            *self.finder.controllers(),
             self._own_address,
         ]
 
     def _is_isolated(self):
         """Whether this process reaches no leader and can't become one."""
-        if self._leading is not None:
+        if self._term is not None:
             return False
-        return self.seeker.is_isolated(self._clock.monotonic_ms())
+        return self.finder.is_isolated(self._clock.monotonic_ms())
 
-    def handle(self, mail):
+    def handle(self, message):
         """Take what a worker's link reports."""
-        leading = self._leading
-        if leading is None or mail.epoch != leading.leader.epoch:
+        term = self._term
+        if term is None or message.epoch != term.leader.epoch:
             return
-        if isinstance(mail, target_link.OrderAnswered):
-            order_answers.handle_order_answer(leading.leader, mail)
-        elif isinstance(mail, target_link.PollAnswered):
-            worker_polls.handle_poll_answer(leading.leader, mail)
+        if isinstance(message, target_link.OrderAnswered):
+            order_answers.handle_order_answer(term.leader, message)
+        elif isinstance(message, target_link.PollAnswered):
+            worker_polls.handle_poll_answer(term.leader, message)
 
     def deliver(self, received):
         """Take a message of another process."""
         message, address = received.message, received.reply_address
         if isinstance(message, cell.CellRequest):
-            self._relayed(message, address)
+            self._handle_request(message, address)
         elif isinstance(message, cell.Greeting):
-            self._greeted(message, address)
+            self._handle_greeting(message, address)
         elif isinstance(message, cell.GreetingReply):
-            self.seeker.handle_reply(message, address, self._clock.monotonic_ms())
+            self.finder.handle_reply(message, address, self._clock.monotonic_ms())
         elif isinstance(message, cell.PermissionAnswer):
-            self._permission_answered(message)
+            self._handle_permission_answer(message)
         elif isinstance(message, cell.PermissionQuery):
-            self._ask_here(message, address)
+            self._query_service(message, address)
         elif isinstance(message, cell.CellReply):
             self.leader_calls.deliver(message)
 
     def tick(self, now_ms):
         """Let time pass."""
-        self.seeker.tick(now_ms)
+        self.finder.tick(now_ms)
         if now_ms >= self._next_housekeeping_ms:
             self._next_housekeeping_ms = now_ms + discovery.GREETING_INTERVAL_MS
-            self._greeters.forget_silent(now_ms)
+            self._peers.forget_silent(now_ms)
             self._reload_if_changed(now_ms)
-            if self._leading is not None:
-                self._leading.leader.tidy()
-                self._leading.planner.tidy()
-        if self._leading is not None and self._may_act(now_ms):
-            for helper in self._leading.leader.permissions.give_up_overdue(now_ms):
+            if self._term is not None:
+                self._term.leader.tidy()
+                self._term.planner.tidy()
+        if self._term is not None and self._may_act(now_ms):
+            for helper in self._term.leader.permissions.give_up_overdue(now_ms):
                 self._record("permission_overdue", helper=helper)
-            running.tick(self._leading.leader, now_ms)
+            running.tick(self._term.leader, now_ms)
 
     def before_write(self, now_ms):
         """Begin or end a term; plan, and propose what was decided."""
         self._follow_leadership()
-        leading = self._leading
-        if leading is None or not self._may_act(now_ms):
+        term = self._term
+        if term is None or not self._may_act(now_ms):
             return
-        leading.planner.plan(now_ms)
-        batch, effects = leading.leader.pop_batch()
+        term.planner.plan(now_ms)
+        batch, effects = term.leader.pop_batch()
         if batch is None:
             return
         index = self._port.propose(codec.pack(batch))
         if index is None:
-            leading.leader.put_back(batch, effects)
+            term.leader.requeue_batch(batch, effects)
         else:
-            leading.batches[index] = effects
+            term.pending_effects[index] = effects
 
     def applied(self, index, term):
         """An entry is committed: what waited for it happens now."""
-        leading = self._leading
-        if leading is None or term != leading.leader.epoch:
+        current = self._term
+        if current is None or term != current.leader.epoch:
             return
-        for effect in leading.batches.pop(index, ()):
+        for effect in current.pending_effects.pop(index, ()):
             effect()
 
     def _reload_if_changed(self, now_ms):
         changed = self._watch.poll(now_ms)
         if changed is not None:
             found = changed.discovery
-            self.seeker.set_seeds(
+            self.finder.set_seeds(
                 discovery.peer_addresses(found.seeds, found.peer_port)
             )
             self._record("settings_reloaded", seeds=found.seeds)
@@ -184,16 +184,16 @@
 
     def _follow_leadership(self):
         node = self._port.node
-        epoch = node.term if self._is_in_charge() else None
-        if self._leading is not None and self._leading.leader.epoch != epoch:
-            self._record("leadership_lost", epoch=self._leading.leader.epoch)
-            self._leading.leader.close()
-            self._leading = None
-        if epoch is not None and self._leading is None:
+        epoch = node.term if self._is_caught_up_leader() else None
+        if self._term is not None and self._term.leader.epoch != epoch:
+            self._record("leadership_lost", epoch=self._term.leader.epoch)
+            self._term.leader.close()
+            self._term = None
+        if epoch is not None and self._term is None:
             self._record("leadership_gained", epoch=epoch)
-            self._leading = LeadershipTerm(epoch, self._environment())
+            self._term = LeadershipTerm(epoch, self._environment())
 
-    def _is_in_charge(self):
+    def _is_caught_up_leader(self):
         """Whether it leads and has applied all that earlier leaders committed."""
         node, state = self._port.node, self._port.state_of()
         return (
@@ -211,9 +211,9 @@
             confirm=self._port.confirm,
             committed=lambda: self._port.state_of().cell,
             cell_offset_ms=self._cell_offset_ms,
-            is_time_known=self._time_judge(),
+            is_time_known=self._make_time_check(),
             helpers=self._helpers,
-            send_query=self._ask,
+            send_query=self._send_query,
             open_link=self._open_link,
             contact=self._contact,
         )
@@ -223,9 +223,9 @@
 
     def _cell_offset_ms(self):
         now_ms = self._clock.monotonic_ms()
-        return self._greeters.cell_offset_ms(self._clock.wall_ms(), now_ms)
+        return self._peers.cell_offset_ms(self._clock.wall_ms(), now_ms)
 
-    def _time_judge(self):
+    def _make_time_check(self):
         """A function that says whether the cell's time can be relied on in a new term.
 
         A new leader whose own clock is wrong would otherwise start what is not due yet.
@@ -236,9 +236,9 @@
 
         def is_known():
             now_ms = self._clock.monotonic_ms()
-            if now_ms - began_ms >= CLOCKS_WAIT_MS:
+            if now_ms - began_ms >= MAX_CLOCKS_WAIT_MS:
                 return True
-            return self._greeters.has_clocks(now_ms)
+            return self._peers.has_enough_clocks(now_ms)
 
         return is_known
 
@@ -251,36 +251,36 @@
         now_ms = self._clock.monotonic_ms()
         domain = self._context.settings.process.failure_domain
         return [
-            *self._greeters.present(now_ms, "frontend", domain),
-            *self._greeters.present(now_ms, "controller", domain),
+            *self._peers.recent_addresses(now_ms, "frontend", domain),
+            *self._peers.recent_addresses(now_ms, "controller", domain),
             self._own_address,
         ]
 
-    def _ask(self, question):
-        step = ".".join(str(part) for part in question.group)
-        query_id = f"{self._leading.leader.epoch}/{question.query_id}"
-        query = cell.PermissionQuery(query_id, step, question.target_ids)
-        self._post(question.helper, query)
+    def _send_query(self, query):
+        step = ".".join(str(part) for part in query.group)
+        query_id = f"{self._term.leader.epoch}/{query.query_id}"
+        message = cell.PermissionQuery(query_id, step, query.target_ids)
+        self._send(query.helper, message)
 
-    def _permission_answered(self, message):
+    def _handle_permission_answer(self, message):
         """Take an answer to a question of this term; each numbers its own from 1.
 
         An answer to a question of an earlier term must not be taken for the answer to
         another one.
         """
-        if self._leading is None:
+        if self._term is None:
             return
         epoch, _slash, query_id = message.query_id.partition("/")
-        if epoch == str(self._leading.leader.epoch):
+        if epoch == str(self._term.leader.epoch):
             permission_answers.handle_answer(
-                self._leading.leader, message._replace(query_id=query_id)
+                self._term.leader, message._replace(query_id=query_id)
             )
 
-    def _greeted(self, message, address):
+    def _handle_greeting(self, message, address):
         now_ms = self._clock.monotonic_ms()
         if address != self._own_address:
-            self._greeters.note(address, message, now_ms)
-        self._post(address, self._greeting_reply())
+            self._peers.record_greeting(address, message, now_ms)
+        self._send(address, self._greeting_reply())
 
     def _greeting_reply(self):
         """Who leads: this controller, or the one that the quorum protocol follows.
@@ -290,18 +290,18 @@
         successor would have no helpers.
         """
         controllers = [m.address for m in self._port.node.members if m.address]
-        if self._leading is not None:
-            epoch = self._leading.leader.epoch
+        if self._term is not None:
+            epoch = self._term.leader.epoch
             return cell.GreetingReply(self._own_address, epoch, controllers)
         leader = self._port.leader_address()
         if leader == self._own_address:
             leader = ""
         return cell.GreetingReply(leader, self._port.node.term, controllers)
 
-    def _relayed(self, message, address):
+    def _handle_request(self, message, address):
         def reply(status, payload=b""):
-            epoch = self._leading.leader.epoch if self._leading else 0
-            self._post(
+            epoch = self._term.leader.epoch if self._term else 0
+            self._send(
                 address,
                 cell.CellReply(
                     message.request_id,
@@ -313,11 +313,11 @@
             )
 
         unpacked = codec.unpack(message.payload).ok()
-        if self._leading is None or unpacked is None:
+        if self._term is None or unpacked is None:
             reply("not_leader")
             return
         requests.handle(
-            self._leading,
+            self._term,
             unpacked,
             lambda answer: reply("answered", codec.pack(answer)),
         )
--- a/alderreach/ops/controller/leader_state.py
+++ b/alderreach/ops/controller/leader_state.py
@@ -61,19 +61,19 @@
         self.pools = pools.Pools(self.workers)
         self.links = {}
         self.permissions = permissions.Permissions()
-        self.is_stale = True
+        self.needs_planning = True
         # Groups for which something other than room has changed.
-        self.revisited = set()
+        self.groups_to_revisit = set()
         self.durations = {}
         self.moves = {}
         self.on_run_ended = lambda job_id, occurrence, step: None
         self._queues = _Queues(None, {}, math.inf)
-        # Ids of workers in the order in which they are tended; see ``next_to_tend``.
-        self._to_tend = collections.deque()
+        # Ids of workers in the order in which they are tended; see ``next_to_check``.
+        self._check_order = collections.deque()
         self._changes = []
         self._effects = []
         # The effects of batches that are not committed yet, oldest batch first.
-        self._under_way = []
+        self._uncommitted_effects = []
 
     def lease_ms(self):
         """The lease of workers: the setting, or the longest that the workers take."""
@@ -98,7 +98,7 @@
         self._changes.append(change)
         if effect is not None:
             self._effects.append(effect)
-        self.is_stale = True
+        self.needs_planning = True
 
     def after_commit(self, effect):
         """Call ``effect`` once all that was decided so far is committed.
@@ -108,8 +108,8 @@
         """
         if self._changes:
             self._effects.append(effect)
-        elif self._under_way:
-            self._under_way[-1].append(effect)
+        elif self._uncommitted_effects:
+            self._uncommitted_effects[-1].append(effect)
         else:
             self.environment.confirm(effect, lambda: None)
 
@@ -120,31 +120,31 @@
         batch = cell.CellBatch(self.cell_ms(), self._changes)
         effects = self._effects
         self._changes, self._effects = [], []
-        self._under_way.append(effects)
-        effects.insert(0, self._oldest_committed)
+        self._uncommitted_effects.append(effects)
+        effects.insert(0, self._drop_oldest_effects)
         return batch, effects
 
-    def put_back(self, batch, effects):
+    def requeue_batch(self, batch, effects):
         """A batch could not be logged yet; it goes first in the next one."""
-        self._under_way.pop()
+        self._uncommitted_effects.pop()
         self._changes = batch.changes + self._changes
         self._effects = effects[1:] + self._effects
 
-    def _oldest_committed(self):
-        self._under_way.pop(0)
+    def _drop_oldest_effects(self):
+        self._uncommitted_effects.pop(0)
 
     def revisit(self, group):
         """Have the next planning pass consider a group anew, whatever has room."""
-        self.revisited.add(group)
-        self.is_stale = True
+        self.groups_to_revisit.add(group)
+        self.needs_planning = True
 
-    def next_to_tend(self, most):
+    def next_to_check(self, limit):
         """At most so many workers, those that were given longest ago."""
-        if len(self.workers) <= most:
+        if len(self.workers) <= limit:
             return list(self.workers.values())
-        while len(self._to_tend) < most:
-            self._to_tend.extend(self.workers)
-        names = [self._to_tend.popleft() for _ in range(most)]
+        while len(self._check_order) < limit:
+            self._check_order.extend(self.workers)
+        names = [self._check_order.popleft() for _ in range(limit)]
         return [self.workers[name] for name in names if name in self.workers]
 
     def is_over(self, key):
@@ -154,13 +154,13 @@
 
     def may_have_crashed_workers(self, task):
         """Whether a worker has crashed under a task, or may have."""
-        return crash_blame.is_suspect(task.blame) or self._runs_in_doubt(task) > 0
+        return crash_blame.is_suspect(task.blame) or self._count_in_doubt(task) > 0
 
-    def has_too_much_doubt(self, task):
+    def has_too_many_in_doubt(self, task):
         """Whether a task waits until it is known what became of one of its runs."""
-        return self._runs_in_doubt(task) >= crash_blame.IN_DOUBT_MOST
+        return self._count_in_doubt(task) >= crash_blame.IN_DOUBT_MOST
 
-    def _runs_in_doubt(self, task):
+    def _count_in_doubt(self, task):
         return sum(self._worker_of(each) is not None for each in task.in_doubt)
 
     def _worker_of(self, vanished):
@@ -169,7 +169,7 @@
         is_same = worker is not None and worker.record.born_ms == vanished.born_ms
         return worker if is_same else None
 
-    def starts_apart(self, task):
+    def must_start_apart(self, task):
         """Whether a task has to start apart from others: a crash is likely its doing.
 
         Silence alone is mostly that of a partition, which concerns many tasks at once.
@@ -199,15 +199,15 @@
         """
         settings = self.environment.settings
         now_ms = self.now_ms()
-        longest_ms = int(self.lease_ms() * workers.SLOW_CLOCK)
-        lapses_ms = now_ms + longest_ms + settings.timing.election_timeout_ms
-        lapses_ms += workers.LEASE_MARGIN_MS
-        worker = workers.Worker(record, now_ms, lapses_ms)
+        max_lease_ms = int(self.lease_ms() * workers.SLOW_CLOCK)
+        lease_end_ms = now_ms + max_lease_ms + settings.timing.election_timeout_ms
+        lease_end_ms += workers.LEASE_MARGIN_MS
+        worker = workers.Worker(record, now_ms, lease_end_ms)
         self.workers[record.target_id] = worker
         self.links[record.target_id] = self.environment.open_link(record, self.epoch)
         return worker
 
-    def move_link(self, record):
+    def replace_link(self, record):
         """A worker has another address: call it there from now on."""
         self.links[record.target_id].close()
         self.links[record.target_id] = self.environment.open_link(record, self.epoch)
--- a/alderreach/ops/controller/order_answers.py
+++ b/alderreach/ops/controller/order_answers.py
@@ -18,36 +18,36 @@
 HOLD_BACK_MS = 500
 
 
-def handle_order_answer(leader, mail):
+def handle_order_answer(leader, message):
     """Take the answer to a Start, Stop or Pace."""
-    worker = leader.workers.get(mail.target_id)
+    worker = leader.workers.get(message.target_id)
     if worker is None:
         return
-    now_ms, result = leader.now_ms(), mail.result
+    now_ms, result = leader.now_ms(), message.result
     if result.clock_ms is not None:
         if worker.is_other_clock(result.clock_ms, now_ms):
-            worker_lifecycle.suspect_new_life(leader, worker)
+            worker_lifecycle.suspect_new_incarnation(leader, worker)
         worker.note_clock(result.clock_ms, now_ms)
         worker.heard_ms = now_ms
     worker.note_answer(result.outcome, now_ms)
     if result.outcome == orders.OTHER_LIFE:
-        worker_lifecycle.life_over(leader, worker)
+        worker_lifecycle.end_incarnation(leader, worker)
         return
-    run = runs.run_of(worker, mail.order.task)
-    if run is None or run.run != mail.order.run:
+    run = runs.run_of(worker, message.order.task)
+    if run is None or run.run != message.order.run:
         return
-    if isinstance(mail.order, orders.Start):
-        _start_answered(leader, worker, run, mail, now_ms)
-    elif isinstance(mail.order, orders.Stop):
-        _stop_answered(run, result, now_ms)
+    if isinstance(message.order, orders.Start):
+        _handle_start_answer(leader, worker, run, message, now_ms)
+    elif isinstance(message.order, orders.Stop):
+        _handle_stop_answer(run, result, now_ms)
         worker_polls.poll(leader, worker)
     elif result.outcome == orders.OK:
-        run.pace = mail.order.percent
+        run.pace = message.order.percent
     elif result.outcome == orders.UNKNOWN:
         run.pace = None
 
 
-def send_again(leader, worker, run):
+def resend(leader, worker, run):
     """Repeat a start or stop that was not answered."""
     if run.state == workers.CLOSING:
         runs.send_stop(leader, worker, run)
@@ -55,9 +55,9 @@
         runs.send_start(leader, worker, run)
 
 
-def _start_answered(leader, worker, run, mail, now_ms):
+def _handle_start_answer(leader, worker, run, message, now_ms):
     """Act on the answer to a start; only OK and proofs that nothing ran settle it."""
-    result = mail.result
+    result = message.result
     if run.state != workers.ORDERED:
         return
     if result.outcome == orders.OK:
@@ -94,7 +94,7 @@
         runs.close_run(leader, worker, run)
 
 
-def _stop_answered(run, result, now_ms):
+def _handle_stop_answer(run, result, now_ms):
     if run.state != workers.CLOSING:
         return
     if result.outcome in (orders.OK, orders.STALE_RUN):
--- a/alderreach/ops/controller/permission_answers.py
+++ b/alderreach/ops/controller/permission_answers.py
@@ -3,10 +3,10 @@
 
 def handle_answer(leader, message):
     """Note a ``cell.PermissionAnswer``; the steps it concerns may be placed now."""
-    question = leader.permissions.find(message.query_id)
-    if question is None:
+    query = leader.permissions.find(message.query_id)
+    if query is None:
         return
-    job = leader.state.jobs.get(question.group[0])
+    job = leader.state.jobs.get(query.group[0])
     rule = leader.queue_of(job).permission if job else None
     leader.permissions.answered(
         message.query_id,
@@ -15,11 +15,11 @@
         rule,
         leader.now_ms(),
     )
-    leader.revisit(question.group)
+    leader.revisit(query.group)
     leader.environment.record(
         "permission_answered",
-        task=".".join(str(part) for part in question.group),
+        task=".".join(str(part) for part in query.group),
         is_decided=message.is_decided,
         granted=len(message.granted),
-        asked=len(question.target_ids),
+        asked=len(query.target_ids),
     )
--- a/alderreach/ops/controller/permission_queries.py
+++ b/alderreach/ops/controller/permission_queries.py
@@ -10,40 +10,40 @@
 from alderreach.decisions.cell import choice, health, permissions
 
 # Beyond the predicted end of the earlier steps, tickets should last for at least this.
-AHEAD_MS = 400
+MIN_TICKET_REMAINDER_MS = 400
 # How soon and how late a step that is to open is looked at again. In between it is at
-# half of the time until its question is due, since earlier steps may end early.
-ASK_AHEAD_INTERVAL_MS = 20
-ASK_AHEAD_LATEST_MS = 100
-# Of larger pools only so many workers are considered for a question.
+# half of the time until its query is due, since earlier steps may end early.
+MIN_ASK_AHEAD_INTERVAL_MS = 20
+MAX_ASK_AHEAD_INTERVAL_MS = 100
+# Of larger pools only so many workers are considered for a query.
 CONSIDERED_MOST = 500
 
 
 class PermissionQueries:
-    """Questions of one term; ``begin`` comes first in each planning pass."""
+    """Questions of one term; ``begin_pass`` comes first in each planning pass."""
 
     def __init__(self, leader):
         self._leader = leader
         # Groups that open later, and when to look at them next.
         self._upcoming = {}
         self._helpers = ()
-        self._quickest_ms = None
+        self._min_decision_ms = None
         self._next_ahead_ms = 0
 
-    def opens_later(self, group):
+    def add_upcoming(self, group):
         """A group whose earlier steps are not done yet."""
         self._upcoming[group] = 0
 
-    def drop(self, group):
+    def remove_upcoming(self, group):
         """A group that has opened, or will never."""
         self._upcoming.pop(group, None)
 
-    def begin(self):
+    def begin_pass(self):
         """Note who can ask, for all questions of one pass."""
         self._helpers = self._leader.environment.helpers()
-        self._quickest_ms = self._quickest_decision_ms()
+        self._min_decision_ms = self._find_min_decision_ms()
 
-    def for_waiting(self, job, group, rule, tasks, has_permitted, now_ms):
+    def query_for_waiting(self, job, group, rule, tasks, has_permitted, now_ms):
         """See to tickets for a group of which so many tasks were not placed.
 
         ``has_permitted`` says that workers with good tickets were tried; if none were,
@@ -54,7 +54,7 @@
             known.found_short(group)
         if known.may_ask(group, now_ms):
             ahead_ms = known.renewal_ms(rule, tasks, self._helpers)
-            self._ask(job, group, rule, tasks, ahead_ms, now_ms)
+            self._query(job, group, rule, tasks, ahead_ms, now_ms)
 
     def next_ms(self, group, now_ms):
         """When a group that waits should be looked at for something to ask."""
@@ -64,18 +64,18 @@
         """Ask for steps that open about when the answer comes."""
         if now_ms < self._next_ahead_ms:
             return
-        self._next_ahead_ms = now_ms + ASK_AHEAD_INTERVAL_MS
+        self._next_ahead_ms = now_ms + MIN_ASK_AHEAD_INTERVAL_MS
         leader = self._leader
         for group, due_ms in list(self._upcoming.items()):
             if now_ms < due_ms:
                 continue
             job = leader.state.jobs.get(group.job_id)
             if job is None or job.state != cell_state.ACTIVE:
-                self.drop(group)
+                self.remove_upcoming(group)
                 leader.permissions.forget(group)
                 continue
             rule = leader.queue_of(job).permission
-            pause_ms = ASK_AHEAD_LATEST_MS
+            pause_ms = MAX_ASK_AHEAD_INTERVAL_MS
             if rule is not None:
                 pause_ms = self._ask_ahead(job, group, rule, now_ms)
             self._upcoming[group] = now_ms + pause_ms
@@ -84,52 +84,52 @@
         """Ask for a step that is to open if it is time; returns when to look again."""
         tasks = job.record.steps[group.step].tasks
         known = self._leader.permissions
-        if not known.may_need_ahead(group, tasks, AHEAD_MS, now_ms):
-            return ASK_AHEAD_INTERVAL_MS
+        if not known.may_need_ahead(group, tasks, MIN_TICKET_REMAINDER_MS, now_ms):
+            return MIN_ASK_AHEAD_INTERVAL_MS
         lead_ms = permissions.lead_ms(rule, permissions.ASKED_AT_MOST)
-        left_ms = self._left_ms(job, group, now_ms)
+        left_ms = self._remaining_ms(job, group, now_ms)
         if left_ms is None:
-            return ASK_AHEAD_INTERVAL_MS
-        spare_ms = left_ms - lead_ms - AHEAD_MS
+            return MIN_ASK_AHEAD_INTERVAL_MS
+        spare_ms = left_ms - lead_ms - MIN_TICKET_REMAINDER_MS
         if spare_ms > 0:
-            pause_ms = min(spare_ms / 2, ASK_AHEAD_LATEST_MS)
-            return max(pause_ms, ASK_AHEAD_INTERVAL_MS)
-        self._ask(job, group, rule, tasks, AHEAD_MS, now_ms)
-        return ASK_AHEAD_INTERVAL_MS
+            pause_ms = min(spare_ms / 2, MAX_ASK_AHEAD_INTERVAL_MS)
+            return max(pause_ms, MIN_ASK_AHEAD_INTERVAL_MS)
+        self._query(job, group, rule, tasks, MIN_TICKET_REMAINDER_MS, now_ms)
+        return MIN_ASK_AHEAD_INTERVAL_MS
 
-    def _ask(self, job, group, rule, tasks, ahead_ms, now_ms):
+    def _query(self, job, group, rule, tasks, ahead_ms, now_ms):
         known = self._leader.permissions
         if not self._has_helper(rule):
             return
         suitable = self._suitable(job, group, now_ms)
         is_gang = job.record.steps[group.step].gang
         wanted = known.wanted(group, suitable, tasks, ahead_ms, now_ms, is_gang)
-        self._put(group, wanted, rule, tasks, now_ms)
+        self._send_query(group, wanted, rule, tasks, now_ms)
 
     def _has_helper(self, rule):
         known = self._leader.permissions
-        return known.idle_helper(rule, self._helpers, self._quickest_ms) is not None
+        return known.idle_helper(rule, self._helpers, self._min_decision_ms) is not None
 
-    def _put(self, group, target_ids, rule, tasks, now_ms):
+    def _send_query(self, group, target_ids, rule, tasks, now_ms):
         leader = self._leader
         if not target_ids:
             longest_ms = permissions.longest_renewal_ms(rule, tasks)
             leader.permissions.nothing_to_ask(group, now_ms, longest_ms)
             return
-        question = leader.permissions.ask(
-            group, target_ids, rule, self._helpers, now_ms, self._quickest_ms
+        query = leader.permissions.ask(
+            group, target_ids, rule, self._helpers, now_ms, self._min_decision_ms
         )
-        if question is None:
+        if query is None:
             return
-        leader.environment.send_query(question)
+        leader.environment.send_query(query)
         leader.environment.record(
             "permission_asked",
             task=".".join(str(part) for part in group),
-            helper=question.helper,
+            helper=query.helper,
             targets=len(target_ids),
         )
 
-    def _quickest_decision_ms(self):
+    def _find_min_decision_ms(self):
         """The shortest decision time among the queues' rules."""
         config = self._leader.state.config
         times = [
@@ -145,22 +145,22 @@
         service = job.record.service
         pool = leader.pools.usable(service)
         if len(pool) > CONSIDERED_MOST:
-            pool = self._narrowed(pool, service, group)
-        roomy, full = [], []
+            pool = self._limit_pool(pool, service, group)
+        with_capacity, full = [], []
         for worker in pool:
             if choice.is_suitable(worker, step):
-                ids = roomy if worker.has_room(step) else full
+                ids = with_capacity if worker.has_room(step) else full
                 ids.append(worker.target_id)
-        return roomy + full
+        return with_capacity + full
 
-    def _narrowed(self, pool, service, group):
+    def _limit_pool(self, pool, service, group):
         """Of a large pool the permitted workers, and the freest to be asked about."""
         known = self._leader.permissions
         names = known.unasked(group, [worker.target_id for worker in pool])
         wanted = [*known.ever_permitted(group), *names[:CONSIDERED_MOST]]
         return self._leader.pools.usable_among(service, wanted)
 
-    def _left_ms(self, job, group, now_ms):
+    def _remaining_ms(self, job, group, now_ms):
         """About how long the earlier steps of a group take; None if some wait."""
         left_ms = 0
         for earlier in job.record.steps[group.step].after:
@@ -172,10 +172,12 @@
                     key = cell_state.TaskKey(
                         group.job_id, group.occurrence, earlier, index
                     )
-                    left_ms = max(left_ms, self._run_left_ms(task, key, step, now_ms))
+                    left_ms = max(
+                        left_ms, self._run_remaining_ms(task, key, step, now_ms)
+                    )
         return left_ms
 
-    def _run_left_ms(self, task, key, step, now_ms):
+    def _run_remaining_ms(self, task, key, step, now_ms):
         worker = self._leader.workers.get(task.target_id)
         run = worker.runs.get(key) if worker else None
         if run is None:
--- a/alderreach/ops/controller/placing.py
+++ b/alderreach/ops/controller/placing.py
@@ -19,10 +19,10 @@
 
 # Both bound a pass, so that the quorum's heartbeats and the workers' leases are never
 # held up by a large job or a long queue; what is left is done by the next pass.
-STARTS_PER_PASS = 200
-PASS_MS = 25
+MAX_STARTS_PER_PASS = 200
+MAX_PASS_MS = 25
 # A pass is made at least this often, for tickets that age and workers that recover.
-PASS_INTERVAL_MS = 20
+MAX_PASS_INTERVAL_MS = 20
 
 
 class Planner:
@@ -37,10 +37,10 @@
         self._ranks = {}
         self._ranked_config = None
         self._queries = permission_queries.PermissionQueries(leader)
-        self._preempting = preempting.Preemptions(leader, self._rank)
+        self._preemptions = preempting.Preemptions(leader, self._rank)
         self._wait_reports = wait_reports.WaitReports(leader)
         # Occurrences that wait for their time, by that time.
-        self._timed = []
+        self._scheduled = []
         self._next_pass_ms = 0
         for job in leader.state.jobs.values():
             self.job_added(job)
@@ -54,16 +54,16 @@
             if cell_state.is_open(job, occurrence, number):
                 self._open(job, group)
             else:
-                self._queries.opens_later(group)
+                self._queries.add_upcoming(group)
 
-    def changed(self, job_id, occurrence, number):
+    def on_run_ended(self, job_id, occurrence, number):
         """A run of a group ended: it may wait again, or open the next steps."""
         job = self._leader.state.jobs.get(job_id)
         if job is None or job.state != cell_state.ACTIVE:
             return
         if job.undone[(occurrence, number)]:
             group = cell_state.GroupKey(job_id, occurrence, number)
-            self._put_in_queue(job, group)
+            self._enqueue(job, group)
             self._leader.revisit(group)
             return
         for later, step in enumerate(job.record.steps):
@@ -73,16 +73,16 @@
     def plan(self, now_ms):
         """Make a pass if anything changed or it is time."""
         leader = self._leader
-        if not leader.is_stale and now_ms < self._next_pass_ms:
+        if not leader.needs_planning and now_ms < self._next_pass_ms:
             return
-        leader.is_stale = False
-        self._next_pass_ms = now_ms + PASS_INTERVAL_MS
-        self._release_timed()
-        self._queries.begin()
-        self._wait_reports.begin()
-        self._preempting.end_holds(self._waiting.__contains__, now_ms)
+        leader.needs_planning = False
+        self._next_pass_ms = now_ms + MAX_PASS_INTERVAL_MS
+        self._release_due()
+        self._queries.begin_pass()
+        self._wait_reports.begin_pass()
+        self._preemptions.release_holds(self._waiting.__contains__, now_ms)
         self._refresh_pools(now_ms)
-        self._rank_anew_if_configured()
+        self._rerank_if_config_changed()
         self._queue.refresh(leader.cell_ms())
         self._consider_groups(now_ms)
         self._queries.ahead(now_ms)
@@ -101,27 +101,30 @@
     def _consider_groups(self, now_ms):
         """Consider the groups that something changed for, in order of urgency."""
         leader = self._leader
-        for group in leader.revisited:
+        for group in leader.groups_to_revisit:
             if group in self._due_ms:
                 self._due_ms[group] = now_ms
-        leader.revisited.clear()
-        gained = leader.pools.take_gained()
-        if not gained and now_ms < min(self._due_ms.values(), default=math.inf):
+        leader.groups_to_revisit.clear()
+        freed = leader.pools.take_gained()
+        if not freed and now_ms < min(self._due_ms.values(), default=math.inf):
             return
         started = visits = 0
         for group in self._queue.groups():
-            if started >= STARTS_PER_PASS or leader.now_ms() - now_ms >= PASS_MS:
-                for worker in gained:
+            if (
+                started >= MAX_STARTS_PER_PASS
+                or leader.now_ms() - now_ms >= MAX_PASS_MS
+            ):
+                for worker in freed:
                     leader.pools.gained_room(worker.target_id)
-                leader.is_stale = True
+                leader.needs_planning = True
                 break
             if leader.is_over(group):
                 self._drop(group)
             elif now_ms >= self._due_ms[group]:
-                started += self._consider_whole(group, now_ms)
+                started += self._consider_in_full(group, now_ms)
                 visits += 1
-            elif gained:
-                started += self._consider_gained(group, gained, now_ms)
+            elif freed:
+                started += self._consider_freed(group, freed, now_ms)
         metrics = leader.environment.metrics
         metrics.observe_ms("planning_pass", leader.now_ms() - now_ms)
         metrics.count("planning_visits", amount=visits)
@@ -130,7 +133,7 @@
     def tidy(self):
         """Forget what is kept of jobs that have ended."""
         self._leader.drop_ended(self._ranks)
-        self._preempting.tidy()
+        self._preemptions.tidy()
         self._wait_reports.tidy(self._waiting.values(), self._leader.now_ms())
 
     def pending(self, queue_name):
@@ -147,17 +150,17 @@
         """A group may start now, or at its time; one that waits already goes on."""
         if group in self._waiting:
             return
-        self._queries.drop(group)
+        self._queries.remove_upcoming(group)
         due_ms = _due_ms(job, group)
         if job.record.repeat_count and due_ms > self._latest_due_ms():
-            heapq.heappush(self._timed, (due_ms, group))
+            heapq.heappush(self._scheduled, (due_ms, group))
         else:
-            self._wait(job, group)
+            self._add_waiting(job, group)
 
-    def _wait(self, job, group):
+    def _add_waiting(self, job, group):
         """A group waits from now on; told in the log beside what starts of it."""
-        self._put_in_queue(job, group)
-        self._leader.is_stale = True
+        self._enqueue(job, group)
+        self._leader.needs_planning = True
         step = job.record.steps[group.step]
         self._leader.environment.record(
             "step_opened",
@@ -166,7 +169,7 @@
             is_gang=step.gang,
         )
 
-    def _put_in_queue(self, job, group):
+    def _enqueue(self, job, group):
         if group not in self._waiting:
             self._waiting[group] = self._leader.now_ms()
             self._due_ms[group] = 0
@@ -183,14 +186,14 @@
             return 0
         return self._leader.cell_ms()
 
-    def _release_timed(self):
-        while self._timed and self._timed[0][0] <= self._latest_due_ms():
-            group = heapq.heappop(self._timed)[1]
+    def _release_due(self):
+        while self._scheduled and self._scheduled[0][0] <= self._latest_due_ms():
+            group = heapq.heappop(self._scheduled)[1]
             job = self._leader.state.jobs.get(group.job_id)
             if job is not None:
-                self._wait(job, group)
+                self._add_waiting(job, group)
 
-    def _rank_anew_if_configured(self):
+    def _rerank_if_config_changed(self):
         """Put all groups in the order of a new configuration."""
         leader = self._leader
         if self._ranked_config is leader.state.config:
@@ -211,20 +214,20 @@
         return rank
 
     def _drop(self, group):
-        self._not_waiting(group)
-        self._queries.drop(group)
+        self._remove_waiting(group)
+        self._queries.remove_upcoming(group)
         self._leader.permissions.forget(group)
 
-    def _not_waiting(self, group):
+    def _remove_waiting(self, group):
         if self._waiting.pop(group, None) is None:
             return
         self._queue.remove(group)
         self._due_ms.pop(group, None)
         self._ranks.pop(group, None)
-        self._wait_reports.started(group)
+        self._wait_reports.on_all_started(group)
         self._leader.permissions.placed(group)
 
-    def _consider_whole(self, group, now_ms):
+    def _consider_in_full(self, group, now_ms):
         """Start what can be started of a group; returns how many tasks.
 
         For what is left, ask for permission, make room and report, as each is due.
@@ -238,17 +241,17 @@
             return started
         since_ms = self._waiting[group]
         if rule is not None:
-            self._queries.for_waiting(job, group, rule, left, bool(pool), now_ms)
-        self._preempting.consider(job, group, pool, left, since_ms, now_ms)
+            self._queries.query_for_waiting(job, group, rule, left, bool(pool), now_ms)
+        self._preemptions.consider(job, group, pool, left, since_ms, now_ms)
         self._wait_reports.consider(job, group, pool, since_ms, now_ms)
         self._due_ms[group] = min(
             self._queries.next_ms(group, now_ms) if rule is not None else math.inf,
-            self._preempting.next_ms(job, group, since_ms),
+            self._preemptions.next_ms(job, group, since_ms),
             self._wait_reports.next_ms(group, since_ms),
         )
         return started
 
-    def _consider_gained(self, group, gained, now_ms):
+    def _consider_freed(self, group, freed, now_ms):
         """Start what fits of a group on workers that have gained room."""
         leader = self._leader
         job = leader.state.jobs[group.job_id]
@@ -256,7 +259,7 @@
         rule = leader.queue_of(job).permission
         pool = [
             worker
-            for worker in gained
+            for worker in freed
             if worker.record.service == job.record.service
             and worker.has_room(step)
             and (rule is None or self._has_ticket(group, worker, now_ms))
@@ -284,7 +287,7 @@
 
     def _may_use(self, group, worker):
         """Whether a worker is not held for a group that goes before this one."""
-        holder = self._preempting.hold_of(worker.target_id)
+        holder = self._preemptions.hold_of(worker.target_id)
         return (
             holder is None
             or holder == group
@@ -299,10 +302,10 @@
             n
             for n, task in enumerate(tasks)
             if task.state == cell_state.WAITING
-            and not self._leader.has_too_much_doubt(task)
+            and not self._leader.has_too_many_in_doubt(task)
         ]
         if not waiting:
-            self._not_waiting(group)
+            self._remove_waiting(group)
             return 0, 0
         if step.gang:
             started = self._place_gang(group, step, tasks, pool, now_ms)
@@ -310,7 +313,7 @@
             started = self._place_tasks(group, step, tasks, waiting, pool, now_ms)
         left = len(waiting) - started
         if not left:
-            self._not_waiting(group)
+            self._remove_waiting(group)
         return started, left
 
     def _place_tasks(self, group, step, tasks, waiting, pool, now_ms):
@@ -323,12 +326,12 @@
         ranking = choice.Ranking(usable, step, group, domains)
         for started, index in enumerate(waiting):
             key, task = cell_state.TaskKey(*group, index), tasks[index]
-            starts_apart = self._leader.starts_apart(task)
-            worker = _choose(ranking, key, task, starts_apart, now_ms)
+            must_start_apart = self._leader.must_start_apart(task)
+            worker = _choose(ranking, key, task, must_start_apart, now_ms)
             if worker is None:
                 return started
             self._start(worker, group, step, index, task.run + 1, now_ms)
-            if starts_apart:
+            if must_start_apart:
                 worker.hold_back(now_ms + crash_blame.APART_MS)
             ranking.put_back(worker, now_ms)
         return len(waiting)
@@ -373,10 +376,10 @@
         )
 
 
-def _choose(ranking, key, task, starts_apart, now_ms):
+def _choose(ranking, key, task, must_start_apart, now_ms):
     """The best worker for a task, or None; one that starts apart avoids fresh runs."""
     failed_on = task.target_id if task.failed_run else ""
-    if not starts_apart:
+    if not must_start_apart:
         return ranking.take(key, failed_on)
     return ranking.take(key, failed_on, lambda w: crash_blame.has_fresh(w, now_ms))
 
--- a/alderreach/ops/controller/preempting.py
+++ b/alderreach/ops/controller/preempting.py
@@ -28,7 +28,7 @@
     def __init__(self, leader, rank_of):
         self._leader = leader
         self._rank_of = rank_of
-        self._yielded = {}
+        self._preemption_counts = {}
         self._next_ms = {}
         self._holds = {}
 
@@ -40,7 +40,7 @@
         hold = self._holds.get(target_id)
         return hold.group if hold else None
 
-    def end_holds(self, is_waiting, now_ms):
+    def release_holds(self, is_waiting, now_ms):
         """End holds that are over; their workers have room for others from now on."""
         for target_id, hold in list(self._holds.items()):
             if now_ms >= hold.until_ms or not is_waiting(hold.group):
@@ -76,13 +76,13 @@
 
     def tidy(self):
         """Forget what is kept of jobs that have ended."""
-        self._leader.drop_ended(self._yielded)
+        self._leader.drop_ended(self._preemption_counts)
         self._leader.drop_ended(self._next_ms)
 
     def _may_yield(self, run, priority):
         if not run.may_yield or run.state != workers.RUNNING:
             return False
-        if self._yielded.get(run.key, 0) >= preemption.YIELDS_MOST:
+        if self._preemption_counts.get(run.key, 0) >= preemption.YIELDS_MOST:
             return False
         job = self._leader.state.jobs.get(run.key.job_id)
         if job is None or self._leader.queue_of(job).priority <= priority:
@@ -92,7 +92,7 @@
         return spare_ms >= preemption.YIELD_COST_MS
 
     def _stop(self, worker, run, group):
-        self._yielded[run.key] = self._yielded.get(run.key, 0) + 1
+        self._preemption_counts[run.key] = self._preemption_counts.get(run.key, 0) + 1
         self._leader.environment.record(
             "run_preempted",
             task=str(run.key),
--- a/alderreach/ops/controller/requests.py
+++ b/alderreach/ops/controller/requests.py
@@ -40,14 +40,14 @@
     return answer(NOT_READY, retry_after_ms=RETRY_AFTER_MS)
 
 
-def handle(leading, request, reply):
+def handle(term, request, reply):
     """Take one request; ``reply`` is called once with its ``cell.CellAnswer``."""
     handler = HANDLERS.get(type(request))
     if handler is None:
         logging.error("no request: %s", type(request).__name__)
         reply(answer(INVALID))
         return
-    handler(leading, request, reply)
+    handler(term, request, reply)
 
 
 def find_queue(config, host, path):
@@ -66,33 +66,33 @@
     return queue, path[len(queue.path_prefix) :]
 
 
-def _at_queue(handler):
+def _requires_queue(handler):
     """Find the queue first; without a configuration or a queue, say so."""
 
     @functools.wraps(handler)
-    def with_queue(leading, request, reply):
-        config = leading.leader.state.config
+    def with_queue(term, request, reply):
+        config = term.leader.state.config
         if config is None:
             reply(not_ready())
             return
         queue, rest = find_queue(config, request.host, request.path)
         if queue is None:
-            leading.confirm(lambda: reply(answer(NO_QUEUE)))
+            term.confirm(lambda: reply(answer(NO_QUEUE)))
             return
-        handler(leading, request, reply, queue, rest)
+        handler(term, request, reply, queue, rest)
 
     return with_queue
 
 
-@_at_queue
-def _submit(leading, request, reply, queue, job_id):
-    leader = leading.leader
+@_requires_queue
+def _submit(term, request, reply, queue, job_id):
+    leader = term.leader
     if job_id in leader.state.jobs:
         leader.after_commit(lambda: reply(answer(ACCEPTED)))
         return
-    reason = _why_invalid(request, job_id)
+    reason = _invalid_reason(request, job_id)
     if reason:
-        leading.record("job_invalid", job=job_id, reason=reason)
+        term.record("job_invalid", job=job_id, reason=reason)
         reply(answer(INVALID, reason))
         return
     record = cell.CellJob(
@@ -107,8 +107,8 @@
     )
     accepted = cell.JobAccepted(record, leader.cell_ms())
     leader.decide(lambda: reply(answer(ACCEPTED)), accepted=[accepted])
-    leading.planner.job_added(leader.state.jobs[job_id])
-    leading.record(
+    term.planner.job_added(leader.state.jobs[job_id])
+    term.record(
         "job_accepted",
         job=job_id,
         queue=queue.name,
@@ -118,7 +118,7 @@
     )
 
 
-def _why_invalid(request, job_id):
+def _invalid_reason(request, job_id):
     if not job_id or "/" in job_id or "." in job_id:
         return "the path names no job"
     if not request.steps:
@@ -143,32 +143,32 @@
     )
 
 
-@_at_queue
-def _read(leading, request, reply, queue, job_id):
+@_requires_queue
+def _read(term, request, reply, queue, job_id):
     if not job_id:
-        leading.confirm(
-            lambda: reply(answer(PENDING, number=leading.planner.pending(queue.name)))
+        term.confirm(
+            lambda: reply(answer(PENDING, number=term.planner.pending(queue.name)))
         )
         return
-    leading.confirm(lambda: reply(_state_of(leading, job_id)))
+    term.confirm(lambda: reply(_job_state_answer(term, job_id)))
 
 
-def _state_of(leading, job_id):
+def _job_state_answer(term, job_id):
     """What is committed; a job that is about to be counts as queued."""
-    job = leading.committed().jobs.get(job_id)
+    job = term.committed().jobs.get(job_id)
     if job is not None:
         return answer(STATE, cell_state.shown_state(job))
-    if job_id in leading.leader.state.jobs:
+    if job_id in term.leader.state.jobs:
         return answer(STATE, "queued")
     return answer(NO_JOB)
 
 
-@_at_queue
-def _cancel(leading, request, reply, _queue, job_id):
-    leader = leading.leader
+@_requires_queue
+def _cancel(term, request, reply, _queue, job_id):
+    leader = term.leader
     job = leader.state.jobs.get(job_id)
     if job is None:
-        leading.confirm(lambda: reply(answer(NO_JOB)))
+        term.confirm(lambda: reply(answer(NO_JOB)))
         return
     if job.state != cell_state.ACTIVE:
         leader.after_commit(lambda: reply(answer(ACCEPTED)))
@@ -179,39 +179,39 @@
         runs.close_job(leader, job)
 
     leader.decide(cancelled, cancelled=[job_id])
-    leading.record("job_cancelled", job=job_id)
+    term.record("job_cancelled", job=job_id)
 
 
-def _put_config(leading, request, reply):
-    leader = leading.leader
-    held = leader.state.config
-    if held is not None and request.config.version <= held.version:
+def _put_config(term, request, reply):
+    leader = term.leader
+    current = leader.state.config
+    if current is not None and request.config.version <= current.version:
         leader.after_commit(lambda: reply(answer(ACCEPTED)))
         return
     leader.decide(lambda: reply(answer(ACCEPTED)), configs=[request.config])
-    leading.record("config_accepted", version=request.config.version)
+    term.record("config_accepted", version=request.config.version)
 
 
-def _read_config(leading, _request, reply):
-    def tell():
-        config = leading.committed().config
+def _read_config(term, _request, reply):
+    def reply_config():
+        config = term.committed().config
         if config is None:
             reply(not_ready())
         else:
             reply(answer(CONFIG, number=config.version, body=config.body))
 
-    leading.confirm(tell)
+    term.confirm(reply_config)
 
 
-def _announce(leading, request, reply):
+def _announce(term, request, reply):
     """A worker's heartbeat; anything new in it is durable before it is acknowledged.
 
     An older life under a known id is answered and left alone: its heartbeat was held up
     on the way.
     """
-    leader, record = leading.leader, request.record
+    leader, record = term.leader, request.record
     worker = leader.workers.get(record.target_id)
-    done = answer(ACCEPTED, leading.contact())
+    done = answer(ACCEPTED, term.contact())
     if worker is not None and record.born_ms < worker.record.born_ms:
         reply(done)
         return
@@ -229,18 +229,18 @@
         worker = leader.add_worker(record)
     is_restarted = worker.record.born_ms != record.born_ms
     if is_restarted or record.address != worker.record.address:
-        leader.move_link(record)
+        leader.replace_link(record)
         worker.poll_sent_ms = None
     if is_restarted:
-        worker_lifecycle.new_life(leader, worker)
-    worker_lifecycle.announced(leader, worker, request.clock_ms, leader.now_ms())
+        worker_lifecycle.begin_new_incarnation(leader, worker)
+    worker_lifecycle.on_heartbeat(leader, worker, request.clock_ms, leader.now_ms())
     if not is_new and record == worker.record:
         reply(done)
         return
     worker.record = record
     leader.pools.worker_changed(worker.target_id)
     leader.decide(lambda: reply(done), targets=[record])
-    leading.record(
+    term.record(
         "worker_changed",
         target=record.target_id,
         state=record.state,
@@ -250,13 +250,13 @@
     worker_polls.poll(leader, worker)
 
 
-def _withdraw(leading, request, reply):
+def _withdraw(term, request, reply):
     """A worker that drained ends; it gets nothing more, and is looked at until gone."""
-    worker = leading.leader.workers.get(request.target_id)
+    worker = term.leader.workers.get(request.target_id)
     if worker is not None:
         worker.is_leaving = True
-        leading.record("worker_leaves", target=request.target_id)
-        worker_polls.poll(leading.leader, worker)
+        term.record("worker_leaves", target=request.target_id)
+        worker_polls.poll(term.leader, worker)
     reply(answer(ACCEPTED))
 
 
--- a/alderreach/ops/controller/running.py
+++ b/alderreach/ops/controller/running.py
@@ -8,7 +8,7 @@
 
 # Workers seen to in one tick; larger cells are gone through in several, so that ticks
 # leave the leader time for decisions.
-TENDED_PER_TICK = 600
+MAX_CHECKS_PER_TICK = 600
 
 
 def take_over(leader):
@@ -31,12 +31,12 @@
 
 def tick(leader, now_ms):
     """Send again what was not answered, poll again, and give up on expired leases."""
-    for worker in leader.next_to_tend(TENDED_PER_TICK):
-        worker_lifecycle.watch(leader, worker, now_ms)
+    for worker in leader.next_to_check(MAX_CHECKS_PER_TICK):
+        worker_lifecycle.check(leader, worker, now_ms)
         for run in list(worker.runs.values()):
             if run.next_send_ms is not None and now_ms >= run.next_send_ms:
                 run.next_send_ms = None
-                order_answers.send_again(leader, worker, run)
+                order_answers.resend(leader, worker, run)
         if worker.poll_sent_ms is None:
             worker_polls.poll_if_due(leader, worker, now_ms)
         worker_lifecycle.forget_if_silent(leader, worker, now_ms)
--- a/alderreach/ops/controller/runs.py
+++ b/alderreach/ops/controller/runs.py
@@ -28,7 +28,7 @@
     worker.add(run)
     record = worker.record
     placed = cell.RunPlaced(*key, run_number, record.target_id, record.born_ms)
-    leader.decide(lambda: _start(leader, worker, run), placed=[placed])
+    leader.decide(lambda: _send_committed_start(leader, worker, run), placed=[placed])
 
 
 def close_job(leader, job):
@@ -56,7 +56,7 @@
     send_stop(leader, worker, run)
 
 
-def end_run(leader, worker, run, how, checkpoint=""):
+def end_run(leader, worker, run, end_kind, checkpoint=""):
     """Record the end of a run and give its room back."""
     worker.remove(run)
     leader.pools.gained_room(worker.target_id)
@@ -64,38 +64,40 @@
     job = leader.state.jobs.get(key.job_id)
     if job is None:
         return
-    _judge(leader, worker, run, how)
+    _update_health(leader, worker, run, end_kind)
     step = job.record.steps[key.step]
-    is_final = _is_final(leader, job, key, how)
-    ended = cell.RunEnded(*key, run.run, how, checkpoint, is_final)
+    is_final = _is_final(leader, job, key, end_kind)
+    ended = cell.RunEnded(*key, run.run, end_kind, checkpoint, is_final)
     leader.decide(ended=[ended])
-    if how == "done":
+    if end_kind == "done":
         stop_duplicate(leader, key, run.run)
     leader.on_run_ended(key.job_id, key.occurrence, key.step)
     leader.environment.record(
         "run_ended",
         task=str(key),
         run=run.run,
-        how=how,
+        how=end_kind,
         target=worker.target_id,
         age_ms=leader.now_ms() - run.placed_ms,
     )
     if job.state == cell_state.FAILED:
         close_job(leader, job)
     elif step.gang:
-        _end_gang(leader, job, key, run.run, how, checkpoint)
+        _end_gang(leader, job, key, run.run, end_kind, checkpoint)
 
 
-def settle(leader, key, run_number, how):
+def resolve(leader, key, run_number, end_kind):
     """Record what became of a run that was in doubt."""
     job = leader.state.jobs.get(key.job_id)
     if job is None:
         return
-    is_final = _is_final(leader, job, key, how)
-    ended = cell.RunEnded(*key, run_number, how, "", is_final)
+    is_final = _is_final(leader, job, key, end_kind)
+    ended = cell.RunEnded(*key, run_number, end_kind, "", is_final)
     leader.decide(ended=[ended])
     leader.on_run_ended(key.job_id, key.occurrence, key.step)
-    leader.environment.record("run_settled", task=str(key), run=run_number, how=how)
+    leader.environment.record(
+        "run_settled", task=str(key), run=run_number, how=end_kind
+    )
     if job.state == cell_state.FAILED:
         close_job(leader, job)
 
@@ -121,7 +123,7 @@
     leader.links[worker.target_id].order(order)
 
 
-def poll_later(leader, worker, gap_ms=POLL_GAP_MS):
+def schedule_poll(leader, worker, gap_ms=POLL_GAP_MS):
     """Have the next poll made after a gap, in which more ends may gather."""
     if not worker.runs:
         gap_ms = IDLE_POLL_GAP_MS
@@ -153,22 +155,22 @@
         return None
 
 
-def _is_final(leader, job, key, how):
+def _is_final(leader, job, key, end_kind):
     """Whether a task is given up after an end like this."""
-    if how == "failed" and not job.record.steps[key.step].long_running:
+    if end_kind == "failed" and not job.record.steps[key.step].long_running:
         failed = cell_state.failures_of(job, *key[1:]) + 1
         return failed >= leader.queue_of(job).max_attempts
-    if how not in crashes.BLAME:
+    if end_kind not in crashes.BLAME:
         return False
-    blame = cell_state.task_of(leader.state, key).blame + crashes.BLAME[how]
-    leader.environment.metrics.count("crashes_under_runs", how)
+    blame = cell_state.task_of(leader.state, key).blame + crashes.BLAME[end_kind]
+    leader.environment.metrics.count("crashes_under_runs", end_kind)
     if not crash_blame.is_too_much(blame):
         return False
     leader.environment.record("task_given_up", task=str(key), blame=blame)
     return True
 
 
-def _start(leader, worker, run):
+def _send_committed_start(leader, worker, run):
     """Send a start that is durable now, unless its job ended meanwhile."""
     if worker.runs.get(run.key) is not run:
         return
@@ -189,13 +191,13 @@
         run.ticket,
     )
     send_start(leader, worker, run)
-    poll_later(leader, worker)
+    schedule_poll(leader, worker)
 
 
-def _end_gang(leader, job, key, run_number, how, checkpoint):
+def _end_gang(leader, job, key, run_number, end_kind, checkpoint):
     """One end of a gang's run stands for all: all are done, or the others stop."""
     tasks = job.groups[(key.occurrence, key.step)]
-    if how == "done":
+    if end_kind == "done":
         _end_lost_members(leader, job, key, run_number)
     for index, task in enumerate(tasks):
         if task.state != cell_state.PLACED or task.run != run_number:
@@ -204,8 +206,8 @@
         run = worker.runs.get(key._replace(index=index)) if worker else None
         if run is None:
             continue
-        if how == "done":
-            end_run(leader, worker, run, how, checkpoint)
+        if end_kind == "done":
+            end_run(leader, worker, run, end_kind, checkpoint)
         else:
             close_run(leader, worker, run)
 
@@ -231,12 +233,12 @@
         leader.on_run_ended(key.job_id, key.occurrence, key.step)
 
 
-def _judge(leader, worker, run, how):
+def _update_health(leader, worker, run, end_kind):
     """What an end says of its worker, and of how long such tasks take."""
-    if how == "done":
+    if end_kind == "done":
         health.ended_well(worker)
         whole_ms = health.whole_ms(run, leader.now_ms())
         if whole_ms is not None:
             leader.durations.setdefault(run.key[:3], []).append(whole_ms)
-    elif how == "failed":
+    elif end_kind == "failed":
         strike(leader, worker, run.key.job_id)
--- a/alderreach/ops/controller/service.py
+++ b/alderreach/ops/controller/service.py
@@ -33,16 +33,16 @@
     own = context.settings.listen.peers
     seeds = discovery.peer_addresses(found.seeds, found.peer_port)
     others = {address: address for address in seeds if address != own}
-    asking = permission_calls.PermissionCalls(
+    permission_thread = permission_calls.PermissionCalls(
         outside.ask_permission, context.transport.send
     ).start()
-    context.stack.callback(asking.close)
+    context.stack.callback(permission_thread.close)
     worker_calls = event_loop.EventLoop("worker calls")
     context.stack.callback(worker_calls.close)
     connections = worker_connections.WorkerConnections(
         context.settings.limits.worker_connections
     )
-    made = []
+    directors = []
 
     def open_link(record, epoch, put):
         return target_link.TargetLink(
@@ -50,12 +50,16 @@
         )
 
     def extend(port):
-        made.append(
+        directors.append(
             director.Director(
-                context, port, open_link, asking.enqueue, context.timeline.record
+                context,
+                port,
+                open_link,
+                permission_thread.enqueue,
+                context.timeline.record,
             )
         )
-        return made[0]
+        return directors[0]
 
     controller = keeper_service.Keeper(
         context,
@@ -65,5 +69,5 @@
         open_cell=others,
         may_found=found.found == "yes" and own in seeds,
     ).start()
-    outside.serve_control(context, made[0].leader_calls)
+    outside.serve_control(context, directors[0].leader_calls)
     return controller
--- a/alderreach/ops/controller/target_link.py
+++ b/alderreach/ops/controller/target_link.py
@@ -54,20 +54,20 @@
 
     def __init__(self, record, epoch, calls, put, post, connections):
         self._post = post
-        report = lambda answered, item, result: put(
-            answered(epoch, record.target_id, item, result)
+        report = lambda message_type, item, result: put(
+            message_type(epoch, record.target_id, item, result)
         )
         open_session = lambda: calls.open_session(record.address)
         order = lambda session, item: calls.order(session, record, item)
         poll = lambda session, item: calls.poll(session, record, item)
-        self._orders = _Lane(
+        self._orders = _CallQueue(
             open_session,
             connections,
             order,
             False,
             functools.partial(report, OrderAnswered),
         )
-        self._polls = _Lane(
+        self._polls = _CallQueue(
             open_session,
             connections,
             poll,
@@ -89,7 +89,7 @@
         self._post(self._polls.close)
 
 
-class _Lane:
+class _CallQueue:
     """Calls of one kind, one after the other; used on the event loop only.
 
     ``may_wait`` says that a call waits until there is a connection for it.
--- a/alderreach/ops/controller/wait_reports.py
+++ b/alderreach/ops/controller/wait_reports.py
@@ -1,8 +1,8 @@
-"""Log lines and metrics for steps that could run and wait for long.
+"""Log lines and metrics for steps that are ready to run but wait for a long time.
 
-A step is reported once it has waited for ``FIRST_MS`` and again each time its wait has
-doubled, a few steps at a time, so that a cell full of waiting steps writes a bounded
-number of lines and spends little on them.
+A step is reported once it has waited for ``FIRST_REPORT_MS`` and again each time its
+wait has doubled. Each planning pass reports only a few steps, so that a cell full of
+waiting steps writes a bounded number of lines and spends little time on them.
 """
 
 import collections
@@ -11,33 +11,36 @@
 from alderreach.decisions.cell import choice, waiting
 
 # Most steps start within a second on a calm day; an objective is seldom shorter.
-FIRST_MS = 2000
+FIRST_REPORT_MS = 2000
 # A report looks at all workers, so a pass makes only a few.
-REPORTS_PER_PASS = 4
+MAX_REPORTS_PER_PASS = 4
 # A report names this many of the queues whose runs hold the room.
-HOLDERS_NAMED = 3
+MAX_HOLDERS = 3
 
 
 class WaitReports:
-    """What was reported in one term; ``begin`` comes first in each planning pass."""
+    """The reports of one leadership term.
+
+    ``begin_pass`` has to be called first in each planning pass.
+    """
 
     def __init__(self, leader):
         self._leader = leader
         self._due_ms = {}
-        self._left = 0
+        self._reports_left = 0
 
-    def begin(self):
+    def begin_pass(self):
         """A pass begins, which may report a few steps."""
-        self._left = REPORTS_PER_PASS
+        self._reports_left = MAX_REPORTS_PER_PASS
 
     def consider(self, job, group, pool, since_ms, now_ms):
         """Report a step that waits since ``since_ms`` if its report is due.
 
         ``pool`` are the workers that it may use, by their permission and health.
         """
-        if now_ms < self.next_ms(group, since_ms) or not self._left:
+        if now_ms < self.next_ms(group, since_ms) or not self._reports_left:
             return
-        self._left -= 1
+        self._reports_left -= 1
         waited_ms = now_ms - since_ms
         self._due_ms[group] = now_ms + waited_ms
         standing = self._standing(job, group, pool, now_ms)
@@ -54,9 +57,9 @@
 
     def next_ms(self, group, since_ms):
         """When the next report on a group that waits is due."""
-        return self._due_ms.get(group, since_ms + FIRST_MS)
+        return self._due_ms.get(group, since_ms + FIRST_REPORT_MS)
 
-    def started(self, group):
+    def on_all_started(self, group):
         """Nothing of a group waits any more."""
         self._due_ms.pop(group, None)
 
@@ -84,7 +87,7 @@
                     counts[(queue.name, queue.priority)] += 1
         return [
             [name, runs, priority]
-            for (name, priority), runs in counts.most_common(HOLDERS_NAMED)
+            for (name, priority), runs in counts.most_common(MAX_HOLDERS)
         ]
 
     def _standing(self, job, group, pool, now_ms):
--- a/alderreach/ops/controller/worker_connections.py
+++ b/alderreach/ops/controller/worker_connections.py
@@ -16,35 +16,35 @@
     fit for another call.
     """
 
-    def __init__(self, most):
-        self._most = most
-        self._used = 0
+    def __init__(self, limit):
+        self._limit = limit
+        self._in_use = 0
         # Sessions with a connection that nobody uses, the longest idle first.
         self._idle = collections.OrderedDict()
-        self._turns = collections.deque()
+        self._waiters = collections.deque()
 
     async def acquire(self, session, may_wait):
         """Take a session for a call, if it may wait once there is a connection for it.
 
         Calls that may not wait go over the bound rather than come late.
         """
-        while may_wait and self._used >= self._most:
-            turn = asyncio.get_running_loop().create_future()
-            self._turns.append(turn)
-            await turn
+        while may_wait and self._in_use >= self._limit:
+            waiter = asyncio.get_running_loop().create_future()
+            self._waiters.append(waiter)
+            await waiter
         self._idle.pop(session, None)
-        self._used += 1
+        self._in_use += 1
         self._close_idle()
 
     def release(self, session):
         """Give a session back after a call."""
-        self._used -= 1
+        self._in_use -= 1
         self._idle[session] = None
         self._close_idle()
-        while self._turns and self._used < self._most:
-            turn = self._turns.popleft()
-            if not turn.done():
-                turn.set_result(None)
+        while self._waiters and self._in_use < self._limit:
+            waiter = self._waiters.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 break
 
     def forget(self, session):
@@ -52,6 +52,6 @@
         self._idle.pop(session, None)
 
     def _close_idle(self):
-        while self._idle and self._used + len(self._idle) > self._most:
+        while self._idle and self._in_use + len(self._idle) > self._limit:
             session, _ = self._idle.popitem(last=False)
             session.close()
--- a/alderreach/ops/controller/worker_lifecycle.py
+++ b/alderreach/ops/controller/worker_lifecycle.py
@@ -11,25 +11,25 @@
 from alderreach.ops.controller import runs
 
 # A worker without runs that neither announces itself nor answers for ten heartbeats.
-FORGOTTEN_AFTER_MS = 15_000
+FORGET_AFTER_MS = 15_000
 # Where runs are in doubt, its next life may come later and prove a crash.
-DOUBTED_FOR_MS = 60_000
+FORGET_IN_DOUBT_AFTER_MS = 60_000
 # A draining worker serves for 2 s at least, less the time until its leader knows.
-DRAIN_LEAST_MS = 1500
+MIN_DRAIN_MS = 1500
 # Tasks that may run twice are started elsewhere once their worker has been silent for
 # this: two polls that failed; at once if nothing listens there, which mostly means that
 # it has crashed. That is no proof, so the others have to wait for the lease.
 ABANDON_AFTER_MS = 1500
 
 
-def announced(leader, worker, clock_ms, now_ms):
+def on_heartbeat(leader, worker, clock_ms, now_ms):
     """A heartbeat of a known life arrived."""
     worker.announced_ms = now_ms
     if clock_ms >= 0:
         worker.note_clock(clock_ms, now_ms)
 
 
-def new_life(leader, worker):
+def begin_new_incarnation(leader, worker):
     """A newer life bears a known id; which runs it has, only its list can tell.
 
     Its clock, its ends and its heartbeats are numbered anew, and only the former life
@@ -37,20 +37,20 @@
     came here, so its runs are not over yet. Heartbeats of the former life do not come
     between, since they name an earlier birth.
     """
-    _record_end(leader, worker, "worker_restarted")
-    _begin_life(leader, worker)
+    _record_incarnation_end(leader, worker, "worker_restarted")
+    _begin_incarnation(leader, worker)
     worker.sequence = -1
     worker.is_leaving = False
     _refuse_late_starts(leader, worker)
 
 
-def suspect_new_life(leader, worker):
+def suspect_new_incarnation(leader, worker):
     """An answer's clock is far behind: it is that of a life not yet heard of."""
     leader.environment.record("worker_clock_behind", target=worker.target_id)
-    _begin_life(leader, worker)
+    _begin_incarnation(leader, worker)
 
 
-def take_first_list(leader, worker, result, sent_ms):
+def apply_first_list(leader, worker, result, sent_ms):
     """What the first list of a life does not name is over.
 
     Starts that were answered after the poll was sent may be missing there, and so may
@@ -64,8 +64,8 @@
         if run.state == workers.ORDERED:
             runs.close_run(leader, worker, run)
         elif run.answered_ms <= sent_ms:
-            how = worker.former_ends.get((run.key, run.run), "lost")
-            runs.end_run(leader, worker, run, how, run.checkpoint)
+            end_kind = worker.former_ends.get((run.key, run.run), "lost")
+            runs.end_run(leader, worker, run, end_kind, run.checkpoint)
 
 
 def expire_lease(leader, worker):
@@ -80,21 +80,21 @@
     leader.environment.record("lease_expired", target=worker.target_id, runs=len(sent))
     ends = _ends_of_runs(leader, worker)
     for run in sent:
-        how = ends.get((run.key, run.run), "lapsed")
-        if how in crashes.BLAME and not worker.is_refusing:
-            worker.vanished[(run.key, run.run)] = how
-            how = crashes.EXPIRED
-        runs.end_run(leader, worker, run, how, run.checkpoint)
+        end_kind = ends.get((run.key, run.run), "lapsed")
+        if end_kind in crashes.BLAME and not worker.is_refusing:
+            worker.vanished[(run.key, run.run)] = end_kind
+            end_kind = crashes.EXPIRED
+        runs.end_run(leader, worker, run, end_kind, run.checkpoint)
 
 
-def life_over(leader, worker):
+def end_incarnation(leader, worker):
     """This life of the worker is over for certain."""
-    _record_end(leader, worker, "worker_gone")
+    _record_incarnation_end(leader, worker, "worker_gone")
     ends = _ends_of_runs(leader, worker)
-    _settle_vanished(leader, worker)
+    _resolve_vanished(leader, worker)
     for run in list(worker.runs.values()):
-        how = ends.get((run.key, run.run), "lost")
-        runs.end_run(leader, worker, run, how, run.checkpoint)
+        end_kind = ends.get((run.key, run.run), "lost")
+        runs.end_run(leader, worker, run, end_kind, run.checkpoint)
     leader.drop_worker(worker.target_id)
     leader.decide(gone=[worker.target_id])
 
@@ -124,7 +124,7 @@
         )
 
 
-def watch(leader, worker, now_ms):
+def check(leader, worker, now_ms):
     """What silence and draining call for as time passes."""
     if now_ms >= worker.lapses_ms:
         expire_lease(leader, worker)
@@ -150,7 +150,7 @@
             continue
         step = job.record.steps[run.key.step]
         left_ms = health.left_ms(run, now_ms)
-        is_done_soon = left_ms is not None and left_ms < DRAIN_LEAST_MS
+        is_done_soon = left_ms is not None and left_ms < MIN_DRAIN_MS
         if step.long_running or (step.checkpointing and not is_done_soon):
             leader.environment.record(
                 "run_evacuated",
@@ -164,8 +164,8 @@
 def forget_if_silent(leader, worker, now_ms):
     """Drop a worker on which nothing runs and that nobody heard of for long."""
     silent_ms = now_ms - max(worker.announced_ms, worker.heard_ms)
-    patience_ms = DOUBTED_FOR_MS if worker.vanished else FORGOTTEN_AFTER_MS
-    if worker.runs or silent_ms <= patience_ms:
+    timeout_ms = FORGET_IN_DOUBT_AFTER_MS if worker.vanished else FORGET_AFTER_MS
+    if worker.runs or silent_ms <= timeout_ms:
         return
     leader.environment.record("worker_forgotten", target=worker.target_id)
     clear_vanished(leader, worker)
@@ -176,7 +176,7 @@
 def clear_vanished(leader, worker):
     """What vanished here did not crash it, or nobody will ever know."""
     for key, run_number in worker.vanished:
-        runs.settle(leader, key, run_number, "lost")
+        runs.resolve(leader, key, run_number, "lost")
     worker.vanished = {}
 
 
@@ -185,28 +185,28 @@
 
     def is_known(key):
         task = cell_state.task_of(leader.state, key)
-        return task is not None and leader.starts_apart(task)
+        return task is not None and leader.must_start_apart(task)
 
     return crash_blame.ends_of(worker, leader.now_ms(), is_known)
 
 
-def _begin_life(leader, worker):
+def _begin_incarnation(leader, worker):
     """Keep how the runs of the life before ended, until its next list."""
     if not worker.awaits_list:
         worker.former_ends = _ends_of_runs(leader, worker)
-    _settle_vanished(leader, worker)
+    _resolve_vanished(leader, worker)
     worker.begin_life()
 
 
-def _settle_vanished(leader, worker):
+def _resolve_vanished(leader, worker):
     """This life is over: what vanished there ended with it, or crashed it."""
     is_planned = worker.is_planned_to_end()
-    for (key, run_number), how in worker.vanished.items():
-        runs.settle(leader, key, run_number, "lost" if is_planned else how)
+    for (key, run_number), end_kind in worker.vanished.items():
+        runs.resolve(leader, key, run_number, "lost" if is_planned else end_kind)
     worker.vanished = {}
 
 
-def _record_end(leader, worker, event):
+def _record_incarnation_end(leader, worker, event):
     """Tell that a life is over, and whether the worker had said that it would end."""
     is_planned = worker.is_planned_to_end()
     leader.environment.record(
--- a/alderreach/ops/controller/worker_polls.py
+++ b/alderreach/ops/controller/worker_polls.py
@@ -11,15 +11,15 @@
 
 # How long the answer to a poll may wait for an end: a quarter of the time in which
 # serving tasks may be disturbed by others; and three polls fit into a lease.
-POLL_WAIT_MS = 1000
+MAX_POLL_WAIT_MS = 1000
 POLLS_PER_LEASE = 3
 # A poll that failed is repeated after this, without extending the lease.
-POLL_AGAIN_MS = 300
+POLL_RETRY_MS = 300
 # Two reports of the tail lie between two changes of a share.
-PACE_INTERVAL_MS = 1100
+MIN_PACE_INTERVAL_MS = 1100
 
 
-def poll(leader, worker, wait_ms=POLL_WAIT_MS):
+def poll(leader, worker, wait_ms=MAX_POLL_WAIT_MS):
     """Poll a worker now, unless a poll is under way.
 
     The lease is extended only while the worker answers and its clock is known.
@@ -44,26 +44,26 @@
     leader.links[worker.target_id].poll(worker.poll)
 
 
-def handle_poll_answer(leader, mail):
+def handle_poll_answer(leader, message):
     """Take a worker's lists; an answer to another poll than the last is too old."""
-    worker = leader.workers.get(mail.target_id)
-    if worker is None or worker.poll_sent_ms is None or mail.poll is not worker.poll:
+    worker = leader.workers.get(message.target_id)
+    if worker is None or worker.poll_sent_ms is None or message.poll is not worker.poll:
         return
-    now_ms, result = leader.now_ms(), mail.result
+    now_ms, result = leader.now_ms(), message.result
     sent_ms, worker.poll_sent_ms = worker.poll_sent_ms, None
     if result.outcome == orders.OTHER_LIFE:
-        worker_lifecycle.life_over(leader, worker)
+        worker_lifecycle.end_incarnation(leader, worker)
     elif result.outcome != orders.OK:
         _poll_failed(leader, worker, result, now_ms)
     elif result.born_ms and result.born_ms < worker.record.born_ms:
-        runs.poll_later(leader, worker, 0)
+        runs.schedule_poll(leader, worker, 0)
     else:
-        _take_lists(leader, worker, result, sent_ms, now_ms)
+        _apply_lists(leader, worker, result, sent_ms, now_ms)
 
 
-def _take_lists(leader, worker, result, sent_ms, now_ms):
+def _apply_lists(leader, worker, result, sent_ms, now_ms):
     if result.born_ms > worker.record.born_ms:
-        worker_lifecycle.new_life(leader, worker)
+        worker_lifecycle.begin_new_incarnation(leader, worker)
         worker.record = worker.record._replace(born_ms=result.born_ms)
         leader.decide(targets=[worker.record])
     worker_lifecycle.clear_vanished(leader, worker)
@@ -72,20 +72,20 @@
     worker.note_answer(orders.OK, now_ms)
     if not worker.shown:
         worker.shown = True
-        leader.is_stale = True
-    has_ends = _take_ends(leader, worker, result.ended)
+        leader.needs_planning = True
+    has_ends = _apply_ends(leader, worker, result.ended)
     if worker.awaits_list:
-        worker_lifecycle.take_first_list(leader, worker, result, sent_ms)
-    _take_running(leader, worker, result.running, sent_ms)
-    _pace(leader, worker, now_ms)
-    _move_on(leader, worker, now_ms)
+        worker_lifecycle.apply_first_list(leader, worker, result, sent_ms)
+    _apply_running(leader, worker, result.running, sent_ms)
+    _adjust_pace(leader, worker, now_ms)
+    _move_from_bad_worker(leader, worker, now_ms)
     if has_ends:
         cursor = max(end.number for end in result.ended)
-        life = worker.life
+        incarnation = worker.life
         worker.is_settling = True
-        leader.after_commit(lambda: _forget_ends(leader, worker, cursor, life))
+        leader.after_commit(lambda: _forget_ends(leader, worker, cursor, incarnation))
     else:
-        runs.poll_later(leader, worker, 0)
+        runs.schedule_poll(leader, worker, 0)
 
 
 def poll_if_due(leader, worker, now_ms):
@@ -99,7 +99,7 @@
     wanted = is_needed or worker.failures or not worker.shown
     due_ms = worker.poll_due_ms
     if worker.failures:
-        due_ms = worker.polled_ms + POLL_AGAIN_MS
+        due_ms = worker.polled_ms + POLL_RETRY_MS
     if wanted and now_ms >= due_ms:
         poll(leader, worker)
 
@@ -113,32 +113,32 @@
         )
     if worker.is_leaving and result.outcome in orders.NOT_CONNECTED:
         # It said that it ends, and no connection to it is made any more.
-        worker_lifecycle.life_over(leader, worker)
+        worker_lifecycle.end_incarnation(leader, worker)
 
 
-def _forget_ends(leader, worker, cursor, life):
+def _forget_ends(leader, worker, cursor, incarnation):
     """The ends up to ``cursor`` are durable here, so the worker may forget them."""
     worker.is_settling = False
     if leader.workers.get(worker.target_id) is not worker:
         return
-    if worker.life == life:
+    if worker.life == incarnation:
         worker.cursor = max(worker.cursor, cursor)
         worker.has_ends = True
-    runs.poll_later(leader, worker)
+    runs.schedule_poll(leader, worker)
 
 
-def _take_ends(leader, worker, ended):
+def _apply_ends(leader, worker, ended):
     """Record the ends that concern runs of ours; True if any was listed."""
     for end in sorted(ended):
         run = runs.run_of(worker, end.task)
         if run is not None and run.run == end.run:
             runs.end_run(leader, worker, run, end.how, end.checkpoint)
         elif end.how == "done":
-            _take_late_success(leader, worker, end)
+            _apply_late_success(leader, worker, end)
     return bool(ended)
 
 
-def _take_late_success(leader, worker, end):
+def _apply_late_success(leader, worker, end):
     """A run given up for lost is listed as done, and its success counts still."""
     key = runs.key_of(end.task)
     task = cell_state.task_of(leader.state, key) if key else None
@@ -165,18 +165,18 @@
     )
 
 
-def _take_running(leader, worker, running, sent_ms):
+def _apply_running(leader, worker, running, sent_ms):
     """Compare what a worker runs with what it should run."""
     now_ms = leader.now_ms()
     listed = {entry.task: entry for entry in running}
     for run in list(worker.runs.values()):
         entry = listed.pop(str(run.key), None)
         if entry is not None and entry.run == run.run:
-            _note_progress(leader, worker, run, entry, now_ms)
+            _update_progress(leader, worker, run, entry, now_ms)
         elif entry is not None:
             listed[entry.task] = entry
         elif sent_ms > run.answered_ms:
-            _note_missing(leader, worker, run)
+            _handle_missing(leader, worker, run)
     for entry in listed.values():
         order = orders.Stop(entry.task, entry.run, leader.epoch)
         leader.links[worker.target_id].order(order)
@@ -188,7 +188,7 @@
         )
 
 
-def _note_progress(leader, worker, run, entry, now_ms):
+def _update_progress(leader, worker, run, entry, now_ms):
     run.is_confirmed = True
     worker.former_ends.pop((run.key, run.run), None)
     if run.state == workers.ORDERED:
@@ -209,19 +209,19 @@
         runs.close_run(leader, worker, run)
 
 
-def _note_missing(leader, worker, run):
+def _handle_missing(leader, worker, run):
     """A run that a fresh poll does not list; only a confirmed stop makes it final."""
     if run.state == workers.ORDERED and run.sends == 0:
         return
     if run.state == workers.CLOSED:
-        how = worker.former_ends.get((run.key, run.run), "stopped")
-        runs.end_run(leader, worker, run, how, run.checkpoint)
+        end_kind = worker.former_ends.get((run.key, run.run), "stopped")
+        runs.end_run(leader, worker, run, end_kind, run.checkpoint)
     elif run.state == workers.RUNNING or run.order is None:
         runs.close_run(leader, worker, run)
 
 
-def _pace(leader, worker, now_ms):
-    if now_ms - worker.paced_ms < PACE_INTERVAL_MS:
+def _adjust_pace(leader, worker, now_ms):
+    if now_ms - worker.paced_ms < MIN_PACE_INTERVAL_MS:
         return
     for run, share in pacing.changes(list(worker.runs.values())):
         worker.paced_ms = now_ms
@@ -229,14 +229,14 @@
         leader.links[worker.target_id].order(order)
 
 
-def _move_on(leader, worker, now_ms):
+def _move_from_bad_worker(leader, worker, now_ms):
     """Stop what stands still here, and all that pays if the worker is slow."""
     ratios = {}
     for run in list(worker.runs.values()):
         if run.state != workers.RUNNING or run.is_long:
             continue
         if health.is_stalled(run, now_ms):
-            _move(leader, worker, run, "stalled", now_ms)
+            _move_run(leader, worker, run, "stalled", now_ms)
             continue
         ratio = health.slowness(run, leader.durations.get(run.key[:3], ()))
         if ratio is not None:
@@ -245,10 +245,10 @@
         return
     for run, ratio in ratios.items():
         if health.pays_to_move(run, ratio, leader.durations[run.key[:3]]):
-            _move(leader, worker, run, "slow", now_ms)
+            _move_run(leader, worker, run, "slow", now_ms)
 
 
-def _move(leader, worker, run, reason, now_ms):
+def _move_run(leader, worker, run, reason, now_ms):
     moves = leader.moves.get(run.key, 0)
     if moves >= health.MOVES_MOST:
         return
