--- a/alderreach/ops/controller/__init__.py
+++ b/alderreach/ops/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller: a replica of the cell's log; its leader owns the whole cell."""
+"""The controller: a replica of the cell's log. The leader manages the whole cell."""
--- a/alderreach/ops/controller/director.py
+++ b/alderreach/ops/controller/director.py
@@ -1,9 +1,9 @@
-"""The part of a controller that owns the cell while its keeper leads the quorum.
+"""The part of a controller that manages the cell while its keeper leads the quorum.
 
 It runs on the keeper's task (``ops/keeper/extension.py``). While another controller
-leads, requests are answered with that one's address. A term of leadership begins once
-the keeper has applied every entry that earlier leaders may have committed, with a fresh
-copy of the agreed state, and ends with the term: nothing of it is carried over.
+leads, requests are answered with the address of that controller. A term of leadership
+begins with a fresh copy of the replicated state once the keeper has applied every entry
+that earlier leaders may have committed. At the end of the term its state is discarded.
 """
 
 from alderreach.core import codec, raft, raft_leader
@@ -21,13 +21,13 @@
     worker_polls,
 )
 
-# A new leader waits this long at the most for others' clocks; processes that have lost
-# their leader greet all controllers they know three times a second.
+# Bounds a new leader's wait for the clocks of other processes. Processes that have lost
+# their leader send a Greeting to all controllers they know three times a second.
 MAX_CLOCKS_WAIT_MS = 3000
 
 
 class LeadershipTerm:
-    """One term: its state, its planner, and how requests reach the quorum."""
+    """One term of leadership: its state, its planner and its access to the quorum."""
 
     def __init__(self, epoch, environment):
         self.leader = leader_state.LeaderState(epoch, environment)
@@ -40,20 +40,21 @@
         running.take_over(self.leader)
 
     def confirm(self, act):
-        """Call ``act`` once the leadership is confirmed; a lost one answers nobody."""
+        """Call ``act`` once the leadership is confirmed, or never if it was lost."""
         self._environment.confirm(act, lambda: None)
 
     def contact(self):
-        """Where workers reach this leader."""
+        """The address at which workers reach this leader."""
         return self._environment.contact
 
 
 class Director:
-    """See ``extension.py`` for when its methods are called.
+    """The cell's manager on one controller.
 
+    ``extension.py`` documents when its methods are called.
     ``open_link(record, epoch, put)`` makes a ``target_link.TargetLink``, and
-    ``query_service(query, address)`` has this process put a question to the permission
-    service. ``record`` takes events for the log.
+    ``query_service(query, address)`` has this process query the permission service and
+    send the answer to ``address``. ``record`` writes events to the log.
     """
 
     def __init__(self, context, port, open_link, query_service, record):
@@ -91,7 +92,7 @@
         )
 
     def _addresses(self):
-        """Where to bring a request of this process itself, any thread may ask."""
+        """Addresses to try for a request of this process; callable from any thread."""
         return [
             self._port.leader_address(),
             *self.finder.controllers(),
@@ -99,13 +100,13 @@
         ]
 
     def _is_isolated(self):
-        """Whether this process reaches no leader and can't become one."""
+        """Whether this process can neither reach a leader nor become one."""
         if self._term is not None:
             return False
         return self.finder.is_isolated(self._clock.monotonic_ms())
 
     def handle(self, message):
-        """Take what a worker's link reports."""
+        """Handle the result of a call to a worker."""
         term = self._term
         if term is None or message.epoch != term.leader.epoch:
             return
@@ -115,7 +116,7 @@
             worker_polls.handle_poll_answer(term.leader, message)
 
     def deliver(self, received):
-        """Take a message of another process."""
+        """Handle a message from another process."""
         message, address = received.message, received.reply_address
         if isinstance(message, cell.CellRequest):
             self._handle_request(message, address)
@@ -131,7 +132,7 @@
             self.leader_calls.deliver(message)
 
     def tick(self, now_ms):
-        """Let time pass."""
+        """Do the work that is due at ``now_ms``."""
         self.finder.tick(now_ms)
         if now_ms >= self._next_housekeeping_ms:
             self._next_housekeeping_ms = now_ms + discovery.GREETING_INTERVAL_MS
@@ -146,7 +147,7 @@
             running.tick(self._term.leader, now_ms)
 
     def before_write(self, now_ms):
-        """Begin or end a term; plan, and propose what was decided."""
+        """Follow changes of the leadership, plan, and propose the decisions."""
         self._follow_leadership()
         term = self._term
         if term is None or not self._may_act(now_ms):
@@ -162,7 +163,7 @@
             term.pending_effects[index] = effects
 
     def applied(self, index, term):
-        """An entry is committed: what waited for it happens now."""
+        """Run the effects that waited for the entry at ``index`` to be committed."""
         current = self._term
         if current is None or term != current.leader.epoch:
             return
@@ -194,7 +195,7 @@
             self._term = LeadershipTerm(epoch, self._environment())
 
     def _is_caught_up_leader(self):
-        """Whether it leads and has applied all that earlier leaders committed."""
+        """Whether it leads and has applied all entries committed by earlier leaders."""
         node, state = self._port.node, self._port.state_of()
         return (
             node.role == raft.LEADER
@@ -226,11 +227,11 @@
         return self._peers.cell_offset_ms(self._clock.wall_ms(), now_ms)
 
     def _make_time_check(self):
-        """A function that says whether the cell's time can be relied on in a new term.
+        """Return a function that says whether a new term can rely on the cell's time.
 
-        A new leader whose own clock is wrong would otherwise start what is not due yet.
-        A cell of so few processes that no more will come goes by the clocks that there
-        are.
+        Otherwise a new leader whose own clock is wrong would start jobs that are not
+        due yet. A cell too small to have ``discovery.MIN_PEER_CLOCKS`` other clocks
+        relies on the clocks it has after ``MAX_CLOCKS_WAIT_MS``.
         """
         began_ms = self._clock.monotonic_ms()
 
@@ -243,10 +244,11 @@
         return is_known
 
     def _helpers(self):
-        """Who may ask the permission service: everyone heard lately, and this process.
+        """Processes that may query the permission service: recent peers and this one.
 
-        Frontends come first, since controllers have more to do, and among each those of
-        the own failure domain, which no cut or lossy link keeps from the leader.
+        Frontends come first, since controllers have more to do. Within each role, peers
+        of the leader's own failure domain come first, since no network partition or
+        lossy link separates them from the leader.
         """
         now_ms = self._clock.monotonic_ms()
         domain = self._context.settings.process.failure_domain
@@ -263,10 +265,10 @@
         self._send(query.helper, message)
 
     def _handle_permission_answer(self, message):
-        """Take an answer to a question of this term; each numbers its own from 1.
+        """Handle the answer to a query of this term; ignore answers to earlier terms.
 
-        An answer to a question of an earlier term must not be taken for the answer to
-        another one.
+        Each term numbers its queries from 1, so a late answer to a query of an earlier
+        term could otherwise be mistaken for the answer to a query of this term.
         """
         if self._term is None:
             return
@@ -283,11 +285,11 @@
         self._send(address, self._greeting_reply())
 
     def _greeting_reply(self):
-        """Who leads: this controller, or the one that the quorum protocol follows.
+        """The reply that names the leader known to this controller.
 
-        A leader that has lost its leadership and knows of no other names nobody. Did it
-        name itself still, frontends that reach it would go on greeting it, and its
-        successor would have no helpers.
+        A controller that has lost its leadership and knows no other leader names none.
+        If it still named itself, frontends that reach it would keep sending it their
+        greetings, and its successor would have no helpers.
         """
         controllers = [m.address for m in self._port.node.members if m.address]
         if self._term is not None:
--- a/alderreach/ops/controller/discovery.py
+++ b/alderreach/ops/controller/discovery.py
@@ -1,12 +1,14 @@
 """How processes of a cell find its controllers from a few seed addresses.
 
-A process knows only some controllers' addresses, perhaps old ones. It greets those, and
-every controller it hears of, and learns who leads. Greetings go to the leader alone
-once it is known and answers, so their number grows with the processes, not with their
-pairs. A controller remembers who greeted it; these are the processes that the leader
-may ask to put questions to the permission service, and whose clocks it compares.
-
-If all seeds are replaced, it goes on with the controllers that earlier replies named.
+A process starts with the addresses of some controllers, which may be outdated. It sends
+a Greeting to these and to every controller that a reply names, and so learns the
+leader's address. Once the leader is known and answers, greetings go to the leader only,
+so their number grows with the number of processes, not of pairs of processes. A
+controller keeps a table of the processes that sent it a Greeting: the leader may have
+them query the permission service, and it compares their clocks.
+
+If all seeds are replaced, a process continues with the controllers named by earlier
+replies.
 """
 
 import statistics
@@ -15,16 +17,16 @@
 from alderreach.core.generated import cell
 
 GREETING_INTERVAL_MS = 300
-# Three greetings missed: the process is taken to be gone, or the leader to be lost. A
-# frontend that is cut off then reports itself not ready, and the balancer, which takes
-# two seconds to notice, sends its callers elsewhere.
+# After three missed greetings a process counts as stopped, and a leader as lost. A
+# frontend that is cut off then reports itself as not ready, and the load balancer,
+# which takes two seconds to notice, sends its callers to other frontends.
 CONTACT_TIMEOUT_MS = 1000
-# With its own clock three, the least of which one may be wrong.
+# Together with the process's own clock three, the fewest of which one may be wrong.
 MIN_PEER_CLOCKS = 2
 
 
 def peer_addresses(seeds, port):
-    """Peer addresses of the controllers that seeds name; only their hosts count.
+    """Peer addresses of the controllers named by ``seeds``, whose ports are ignored.
 
     >>> peer_addresses("10.0.0.1:80,10.0.0.2:80", 7400)
     ['10.0.0.1:7400', '10.0.0.2:7400']
@@ -36,7 +38,7 @@
 
 
 class Leadership(typing.NamedTuple):
-    """Who leads, as last heard: address, epoch, and when it was heard itself."""
+    """The leader as last reported, and the time of the last message from itself."""
 
     address: str
     epoch: int
@@ -47,7 +49,7 @@
 
 
 class ControllerFinder:
-    """A process's view of its controllers; used by one task or under its lock."""
+    """Finds the controllers and the leader of a cell. Not thread-safe."""
 
     def __init__(self, own_address, seeds, role, failure_domain, clock, send):
         self._own_address = own_address
@@ -63,11 +65,11 @@
         self.leadership = NO_LEADERSHIP
 
     def set_seeds(self, seeds):
-        """Take the seeds of a changed settings file."""
+        """Replace the seeds after a change of the settings file."""
         self._seeds = list(seeds)
 
     def tick(self, now_ms):
-        """Greet whoever has to be greeted now."""
+        """Send the greetings that are due."""
         if now_ms < self._next_ms:
             return
         self._next_ms = now_ms + GREETING_INTERVAL_MS
@@ -78,11 +80,12 @@
             self._send(address, greeting)
 
     def handle_reply(self, reply, sender, now_ms):
-        """Take a GreetingReply that came from ``sender``.
+        """Update the view of the cell from a GreetingReply sent by ``sender``.
 
-        Only the leader itself proves that it is there. Refreshed by hearsay, a leader
-        beyond a cut would seem alive for as long as one other controller on this side
-        still names it. One that is new is given the time to be heard itself.
+        Only a reply from the leader itself shows that it can be reached. If replies of
+        other controllers counted too, a leader beyond a network partition would seem
+        reachable while any controller on this side still names it. A new leader is
+        accepted from any controller and has ``CONTACT_TIMEOUT_MS`` to reply itself.
         """
         self._last_reply_ms[sender] = now_ms
         for address in (sender, *reply.controllers):
@@ -93,23 +96,23 @@
             self.leadership = Leadership(reply.leader, reply.epoch, now_ms)
 
     def controllers(self):
-        """All addresses worth trying, the leader's first."""
+        """Addresses of all known controllers but this process, the leader's first."""
         known = [self.leadership.address, *self._seeds, *self._known]
         return list(dict.fromkeys(a for a in known if a and a != self._own_address))
 
     def has_leader(self, now_ms):
-        """Whether a leader was heard of lately."""
+        """Whether the last contact with the leader is recent enough."""
         leadership = self.leadership
         return bool(leadership.address) and (
             now_ms - leadership.last_contact_ms < CONTACT_TIMEOUT_MS
         )
 
     def is_isolated(self, now_ms):
-        """Whether it is cut off, rather than between two leaders.
+        """Whether this process is cut off, rather than waiting for an election.
 
-        Between two leaders the other controllers still answer greetings. Once the
-        leader is silent all of them are greeted, and if at most a third answers, no
-        leader can be expected from here until the network is whole again.
+        During an election the other controllers still answer greetings. Once the leader
+        has stopped answering, all controllers are sent greetings. If at most a third of
+        them answers, no leader can be reached from here until the network recovers.
         """
         if self.has_leader(now_ms):
             return False
@@ -122,7 +125,7 @@
         )
 
     def responsive_controllers(self, now_ms):
-        """Addresses of controllers that answered one of the last two greetings."""
+        """Addresses of the controllers that answered one of the last two greetings."""
         return [
             address
             for address, last_contact_ms in list(self._last_reply_ms.items())
@@ -136,7 +139,10 @@
 
 
 class _Peer(typing.NamedTuple):
-    """When a process greeted last, and its wall clock less the steady one here."""
+    """A process that sent a Greeting.
+
+    ``offset_ms`` is its wall clock minus the monotonic clock of this process.
+    """
 
     last_contact_ms: int
     offset_ms: int
@@ -145,19 +151,19 @@
 
 
 class RecentPeers:
-    """Who greeted a controller lately, and how their clocks differ from its own."""
+    """The processes that recently sent a Greeting, and the offsets of their clocks."""
 
     def __init__(self):
         self._peers = {}
 
     def record_greeting(self, address, greeting, mono_ms):
-        """Take a greeting that arrived at ``mono_ms`` of the own steady clock."""
+        """Record a Greeting that arrived at ``mono_ms`` of the monotonic clock."""
         offset_ms = greeting.wall_ms - mono_ms
         domain = greeting.failure_domain
         self._peers[address] = _Peer(mono_ms, offset_ms, greeting.role, domain)
 
     def recent_addresses(self, now_ms, role, nearest_domain):
-        """Addresses of those of a role heard lately, those of one domain first."""
+        """Addresses of recent peers of a role, those in ``nearest_domain`` first."""
         near, far = [], []
         for address, peer in self._peers.items():
             if now_ms - peer.last_contact_ms < CONTACT_TIMEOUT_MS and peer.role == role:
@@ -166,26 +172,26 @@
         return near + far
 
     def forget_silent(self, now_ms):
-        """Drop whom nobody heard of for long."""
+        """Drop peers that have not sent a Greeting for ten contact timeouts."""
         for address, peer in list(self._peers.items()):
             if now_ms - peer.last_contact_ms > 10 * CONTACT_TIMEOUT_MS:
                 del self._peers[address]
 
     def cell_offset_ms(self, own_wall_ms, now_ms):
-        """What added to the steady clock gives the cell's time: the median of all.
+        """The offset of the cell's time from the monotonic clock: the median of all.
 
-        Wall clocks of single VMs jump by seconds and back; the median stays right
-        while fewer than half of the processes are wrong.
+        Wall clocks of single VMs jump by seconds and back. The median stays correct
+        while fewer than half of the processes have a wrong clock.
         """
         offsets = [own_wall_ms - now_ms, *self._offsets(now_ms)]
         return int(statistics.median_low(offsets))
 
     def has_enough_clocks(self, now_ms):
-        """Whether enough others were heard that one wrong clock moves no median."""
+        """Whether there are enough recent peers that one wrong clock is outvoted."""
         return len(self._offsets(now_ms)) >= MIN_PEER_CLOCKS
 
     def _offsets(self, now_ms):
-        """What others' greetings gave lately."""
+        """Clock offsets of the recent peers."""
         return [
             peer.offset_ms
             for peer in self._peers.values()
--- a/alderreach/ops/controller/leader_state.py
+++ b/alderreach/ops/controller/leader_state.py
@@ -1,10 +1,10 @@
-"""What a leader knows and has decided in one term, and how a decision becomes durable.
+"""The state and decisions of a leader in one term, and how they become durable.
 
-A leader works on its own copy of the cell's state, which runs ahead of the log by what
-it has decided and not yet committed. ``decide`` changes that copy at once and keeps the
-change for the next batch; the ``effect`` that goes with it (an answer, an order to a
-worker) happens only once the batch is committed. Nothing outside ever sees a decision
-that a new leader could not know.
+A leader works on its own copy of the cell's state, which is ahead of the log by the
+decisions that are not committed yet. ``decide`` changes that copy immediately and keeps
+the change for the next batch. The change's ``effect`` (an answer, an order to a worker)
+runs only once the batch is committed. So no other process ever sees a decision that a
+new leader might not know.
 """
 
 import collections
@@ -19,13 +19,13 @@
 
 
 class Environment(typing.NamedTuple):
-    """What a leader uses of its process.
+    """The services that a process provides to its leader.
 
-    ``committed()`` returns the cell's state as the log has it, ``cell_offset_ms()``
-    what added to the steady clock gives the cell's time, ``is_time_known()`` whether
-    that rests on more than one process's clock, ``helpers()`` the peers that
-    may put questions to the permission service, and ``send_query(question)`` gives
-    one of them a ``permissions.Question``.
+    ``committed()`` returns the committed state of the cell, ``cell_offset_ms()`` the
+    offset of the cell's time from the monotonic clock, ``is_time_known()`` whether that
+    offset can be relied on, and ``helpers()`` the addresses of the processes that may
+    query the permission service. ``send_query(query)`` sends a ``permissions.Question``
+    to its helper.
     """
 
     settings: typing.Any
@@ -51,7 +51,7 @@
 
 
 class LeaderState:
-    """One term of leadership. Used by the controller's task only."""
+    """The leader's state in one term; used by the controller's task only."""
 
     def __init__(self, epoch, environment):
         self.epoch = epoch
@@ -62,34 +62,34 @@
         self.links = {}
         self.permissions = permissions.Permissions()
         self.needs_planning = True
-        # Groups for which something other than room has changed.
+        # Groups for which something other than free capacity has changed.
         self.groups_to_revisit = set()
         self.durations = {}
         self.moves = {}
         self.on_run_ended = lambda job_id, occurrence, step: None
         self._queues = _Queues(None, {}, math.inf)
-        # Ids of workers in the order in which they are tended; see ``next_to_check``.
+        # Ids of workers in the order of their checks; see ``next_to_check``.
         self._check_order = collections.deque()
         self._changes = []
         self._effects = []
-        # The effects of batches that are not committed yet, oldest batch first.
+        # Lists of effects, one for each uncommitted batch, oldest batch first.
         self._uncommitted_effects = []
 
     def lease_ms(self):
-        """The lease of workers: the setting, or the longest that the workers take."""
+        """The duration of worker leases, at most the longest that workers accept."""
         settings = self.environment.settings.cell
         return min(settings.worker_lease_ms, settings.worker_lease_max_ms)
 
     def now_ms(self):
-        """The steady clock."""
+        """The time of the monotonic clock."""
         return self.environment.clock.monotonic_ms()
 
     def cell_ms(self):
-        """The cell's time, which no single wrong clock moves."""
+        """The cell's time, which a single wrong clock does not affect."""
         return self.now_ms() + self.environment.cell_offset_ms()
 
     def decide(self, effect=None, **parts):
-        """Make a change of the fields of a ``cell.CellChange`` given by name.
+        """Apply a ``cell.CellChange`` with these fields, and add it to the next batch.
 
         ``effect`` is called without arguments once the change is committed.
         """
@@ -101,10 +101,10 @@
         self.needs_planning = True
 
     def after_commit(self, effect):
-        """Call ``effect`` once all that was decided so far is committed.
+        """Call ``effect`` once all decisions made so far are committed.
 
-        A round of voters shows that nobody else leads. It does not show that they hold
-        a batch that is under way, so what comes meanwhile waits for that batch.
+        A round of voters confirms that there is no other leader. It does not confirm
+        that they have an uncommitted batch, so the effect waits for the latest batch.
         """
         if self._changes:
             self._effects.append(effect)
@@ -114,7 +114,7 @@
             self.environment.confirm(effect, lambda: None)
 
     def pop_batch(self):
-        """What has to be logged now, with its effects; (None, []) if nothing has."""
+        """Remove and return the next batch and its effects; (None, []) if none."""
         if not self._changes:
             return None, []
         batch = cell.CellBatch(self.cell_ms(), self._changes)
@@ -125,7 +125,7 @@
         return batch, effects
 
     def requeue_batch(self, batch, effects):
-        """A batch could not be logged yet; it goes first in the next one."""
+        """Return a batch that could not be logged to the front of the next batch."""
         self._uncommitted_effects.pop()
         self._changes = batch.changes + self._changes
         self._effects = effects[1:] + self._effects
@@ -134,12 +134,12 @@
         self._uncommitted_effects.pop(0)
 
     def revisit(self, group):
-        """Have the next planning pass consider a group anew, whatever has room."""
+        """Have the next planning pass consider a group in full."""
         self.groups_to_revisit.add(group)
         self.needs_planning = True
 
     def next_to_check(self, limit):
-        """At most so many workers, those that were given longest ago."""
+        """Up to ``limit`` workers, in turn: those whose last check is longest ago."""
         if len(self.workers) <= limit:
             return list(self.workers.values())
         while len(self._check_order) < limit:
@@ -148,31 +148,32 @@
         return [self.workers[name] for name in names if name in self.workers]
 
     def is_over(self, key):
-        """Whether the job of a task or group, which its key begins with, has ended."""
+        """Whether the job that the key of a task or group begins with has ended."""
         job = self.state.jobs.get(key[0])
         return job is None or job.state != cell_state.ACTIVE
 
     def may_have_crashed_workers(self, task):
-        """Whether a worker has crashed under a task, or may have."""
+        """Whether a worker has crashed, or may have crashed, while it ran a task."""
         return crash_blame.is_suspect(task.blame) or self._count_in_doubt(task) > 0
 
     def has_too_many_in_doubt(self, task):
-        """Whether a task waits until it is known what became of one of its runs."""
+        """Whether a task has to wait until the end of one of its runs is known."""
         return self._count_in_doubt(task) >= crash_blame.IN_DOUBT_MOST
 
     def _count_in_doubt(self, task):
         return sum(self._worker_of(each) is not None for each in task.in_doubt)
 
     def _worker_of(self, vanished):
-        """The worker of a run in doubt, None if its life will never be heard again."""
+        """The worker of a run in doubt, or None if that incarnation is over."""
         worker = self.workers.get(vanished.target_id)
         is_same = worker is not None and worker.record.born_ms == vanished.born_ms
         return worker if is_same else None
 
     def must_start_apart(self, task):
-        """Whether a task has to start apart from others: a crash is likely its doing.
+        """Whether a task, as the likely cause of a crash, must start apart from others.
 
-        Silence alone is mostly that of a partition, which concerns many tasks at once.
+        A worker that merely stops answering does not count. The usual cause of that is
+        a network partition, which affects many tasks at once.
         """
         if crash_blame.is_suspect(task.blame):
             return True
@@ -180,22 +181,22 @@
         return any(worker and worker.is_refusing for worker in vanished_on)
 
     def drop_ended(self, kept):
-        """Drop what a dictionary keeps under keys of jobs that have ended."""
+        """Drop the entries of a dictionary whose keys belong to ended jobs."""
         for key in [key for key in kept if self.is_over(key)]:
             del kept[key]
 
     def tidy(self):
-        """Forget what is kept of jobs that have ended."""
+        """Drop the records of jobs that have ended."""
         self.drop_ended(self.durations)
         self.drop_ended(self.moves)
         self.permissions.forget_all(self.is_over)
 
     def add_worker(self, record):
-        """Take up a worker, with the runs that the state has on it.
+        """Add a worker and open a link to it.
 
-        Until the worker was heard, a former leader's lease may still hold there; it was
-        granted before this leader was elected, and by a leader that had heard from a
-        quorum an election timeout earlier at most.
+        Until the worker has answered, a lease granted by a previous leader may still
+        be valid there. It was granted before this leader was elected, by a leader whose
+        last contact with a quorum was at most an election timeout earlier.
         """
         settings = self.environment.settings
         now_ms = self.now_ms()
@@ -208,22 +209,22 @@
         return worker
 
     def replace_link(self, record):
-        """A worker has another address: call it there from now on."""
+        """Close the link to a worker and open one to its new address."""
         self.links[record.target_id].close()
         self.links[record.target_id] = self.environment.open_link(record, self.epoch)
 
     def drop_worker(self, target_id):
-        """Forget a worker on which nothing runs."""
+        """Remove a worker that has no runs."""
         del self.workers[target_id]
         self.pools.worker_changed(target_id)
         self.links.pop(target_id).close()
 
     def queue_of(self, job):
-        """The queue of a job as configured now, or as it was when it took the job."""
+        """The queue of a job as configured now, or else as the job was accepted."""
         return self._queues_now().by_name.get(job.record.queue.name, job.record.queue)
 
     def least_urgent(self):
-        """The highest priority number among the queues in force; infinite if none."""
+        """The highest priority number of the configured queues; infinite if none."""
         return self._queues_now().least_urgent
 
     def _queues_now(self):
@@ -238,8 +239,11 @@
         return self._queues
 
     def close(self):
-        """The term is over: nothing is sent any more."""
+        """End the term: close all links and discard the decisions not yet logged."""
         for link in self.links.values():
             link.close()
         if self._changes:
-            logging.info("leadership over with %d changes dropped", len(self._changes))
+            logging.info(
+                "leadership ended; dropped %d changes that were not logged",
+                len(self._changes),
+            )
