--- a/alderreach/ops/controller/order_answers.py
+++ b/alderreach/ops/controller/order_answers.py
@@ -1,4 +1,4 @@
-"""What follows from the answer to a start, a stop or a pace, or from none."""
+"""Handling of the answers to start, stop and pace orders, and of missing answers."""
 
 from absl import logging
 
@@ -6,20 +6,22 @@
 from alderreach.decisions.cell import crash_blame, workers
 from alderreach.ops.controller import runs, worker_lifecycle, worker_polls
 
-# An order without an answer is sent again after this; the call itself has waited
-# longer than any healthy worker takes.
+# Delay before an unanswered order is sent again. It can be short, since the call itself
+# has already waited for longer than any healthy worker takes to answer.
 RESEND_AFTER_MS = 50
-# Where nothing listens the answer comes at once; without a pause every run there would
-# open a connection twenty times a second.
+# A call to an address where nothing listens fails immediately. Without this pause each
+# run on the worker would open a connection twenty times a second.
 NOT_CONNECTED_PAUSE_MS = 400
-# Refusals for want of health or room say that our view is behind; waiting lets a poll
-# or a heartbeat come first. Those of a ticket let others be asked about meanwhile: a
-# worker that refuses all tickets was the only one renewed, and its step never ran.
+# A worker that refused a start gets no new runs for this time. A refusal due to health
+# or capacity means that the leader's view is outdated; the pause lets a poll or a
+# heartbeat arrive first. After a refused ticket it lets the leader query about other
+# workers: without it, a worker that refused all tickets was the only one whose ticket
+# was renewed, and its step never ran.
 HOLD_BACK_MS = 500
 
 
 def handle_order_answer(leader, message):
-    """Take the answer to a Start, Stop or Pace."""
+    """Handle the answer to a Start, Stop or Pace order."""
     worker = leader.workers.get(message.target_id)
     if worker is None:
         return
@@ -48,7 +50,7 @@
 
 
 def resend(leader, worker, run):
-    """Repeat a start or stop that was not answered."""
+    """Send a start or stop again that was not answered."""
     if run.state == workers.CLOSING:
         runs.send_stop(leader, worker, run)
     elif run.state == workers.ORDERED and run.order is not None:
@@ -56,7 +58,10 @@
 
 
 def _handle_start_answer(leader, worker, run, message, now_ms):
-    """Act on the answer to a start; only OK and proofs that nothing ran settle it."""
+    """Handle the answer to a start.
+
+    Only OK, or a proof that nothing ran, is conclusive.
+    """
     result = message.result
     if run.state != workers.ORDERED:
         return
@@ -89,7 +94,7 @@
         worker.may_arrive_late(run, now_ms)
         run.next_send_ms = now_ms + RESEND_AFTER_MS
     elif result.outcome == orders.FENCED:
-        logging.warning("worker %s saw a higher epoch", worker.target_id)
+        logging.warning("worker %s has seen a higher epoch", worker.target_id)
     else:
         runs.close_run(leader, worker, run)
 
--- a/alderreach/ops/controller/permission_answers.py
+++ b/alderreach/ops/controller/permission_answers.py
@@ -1,8 +1,8 @@
-"""The permission service's answers, as a leader takes them up."""
+"""Handling of the permission service's answers by the leader."""
 
 
 def handle_answer(leader, message):
-    """Note a ``cell.PermissionAnswer``; the steps it concerns may be placed now."""
+    """Record a ``cell.PermissionAnswer`` and have its group considered in full."""
     query = leader.permissions.find(message.query_id)
     if query is None:
         return
--- a/alderreach/ops/controller/permission_calls.py
+++ b/alderreach/ops/controller/permission_calls.py
@@ -1,7 +1,7 @@
-"""Questions to the permission service, asked on the leader's behalf.
+"""Queries to the permission service on behalf of the leader.
 
-Every controller and frontend runs one thread for this, since the service serves each
-calling VM one question at a time. The leader decides who asks what; see
+Every controller and frontend runs one thread for them, since the service handles one
+query at a time for each calling VM. The leader assigns the queries to processes; see
 ``decisions/cell/permissions.py``.
 """
 
@@ -16,7 +16,10 @@
 
 
 class PermissionCalls:
-    """The thread; ``ask(step, targets)`` returns a list of ``cell.Ticket`` or None."""
+    """The thread that makes the queries.
+
+    ``ask(step, targets)`` returns a list of ``cell.Ticket``, or None without an answer.
+    """
 
     def __init__(self, ask, send):
         self._ask = ask
@@ -32,11 +35,11 @@
         return self
 
     def enqueue(self, query, reply_address):
-        """Take a ``cell.PermissionQuery`` of the leader at ``reply_address``."""
+        """Queue a ``cell.PermissionQuery`` from the leader at ``reply_address``."""
         self._queue.put((query, reply_address))
 
     def close(self):
-        """End the thread after the question it is at."""
+        """End the thread after the queries that are already queued."""
         self._queue.put(STOP)
 
     def _run(self):
--- a/alderreach/ops/controller/permission_queries.py
+++ b/alderreach/ops/controller/permission_queries.py
@@ -1,53 +1,58 @@
-"""The leader's questions to the permission service: which step, about which workers.
+"""The leader's queries to the permission service: for which steps and workers.
 
-A step whose permitted workers have no room for it is asked for with further workers and
-with those whose tickets run out; a step that is to open, ahead of its time while the
-steps before it run. What is worth asking is decided in
-``decisions/cell/permissions.py``.
+If the permitted workers have no free capacity for a waiting step, the leader queries
+about further workers and about those whose tickets expire soon. For a step that opens
+later, it sends the query in advance while the earlier steps run.
+``decisions/cell/permissions.py`` decides which workers are worth a query.
 """
 
 from alderreach.core import cell_state
 from alderreach.decisions.cell import choice, health, permissions
 
-# Beyond the predicted end of the earlier steps, tickets should last for at least this.
+# Tickets should remain valid for at least this time after the predicted end of the
+# earlier steps.
 MIN_TICKET_REMAINDER_MS = 400
-# How soon and how late a step that is to open is looked at again. In between it is at
-# half of the time until its query is due, since earlier steps may end early.
+# Bounds of the interval between checks of a step that opens later. Within them, the
+# next check is at half of the time until the query is due, since earlier steps may end
+# early.
 MIN_ASK_AHEAD_INTERVAL_MS = 20
 MAX_ASK_AHEAD_INTERVAL_MS = 100
-# Of larger pools only so many workers are considered for a query.
+# The number of workers considered for one query in larger pools.
 CONSIDERED_MOST = 500
 
 
 class PermissionQueries:
-    """Questions of one term; ``begin_pass`` comes first in each planning pass."""
+    """The queries of one term of leadership.
+
+    ``begin_pass`` has to be called first in each planning pass.
+    """
 
     def __init__(self, leader):
         self._leader = leader
-        # Groups that open later, and when to look at them next.
+        # Groups that open later, each with the time of its next check.
         self._upcoming = {}
         self._helpers = ()
         self._min_decision_ms = None
         self._next_ahead_ms = 0
 
     def add_upcoming(self, group):
-        """A group whose earlier steps are not done yet."""
+        """Add a group whose earlier steps are not done yet."""
         self._upcoming[group] = 0
 
     def remove_upcoming(self, group):
-        """A group that has opened, or will never."""
+        """Remove a group that has opened or will never open."""
         self._upcoming.pop(group, None)
 
     def begin_pass(self):
-        """Note who can ask, for all questions of one pass."""
+        """Determine the available helpers for all queries of a pass."""
         self._helpers = self._leader.environment.helpers()
         self._min_decision_ms = self._find_min_decision_ms()
 
     def query_for_waiting(self, job, group, rule, tasks, has_permitted, now_ms):
-        """See to tickets for a group of which so many tasks were not placed.
+        """Query for tickets, if allowed, for a group with ``tasks`` unplaced tasks.
 
-        ``has_permitted`` says that workers with good tickets were tried; if none were,
-        the tickets have run out, and the workers may have room.
+        ``has_permitted`` says that workers with valid tickets were tried. If none were,
+        the tickets have expired, and the workers may have free capacity.
         """
         known = self._leader.permissions
         if has_permitted:
@@ -57,11 +62,11 @@
             self._query(job, group, rule, tasks, ahead_ms, now_ms)
 
     def next_ms(self, group, now_ms):
-        """When a group that waits should be looked at for something to ask."""
+        """The time at which a waiting group should next be checked for queries."""
         return self._leader.permissions.next_check_ms(group, now_ms)
 
     def ahead(self, now_ms):
-        """Ask for steps that open about when the answer comes."""
+        """Send the queries for steps that open at about the time of the answer."""
         if now_ms < self._next_ahead_ms:
             return
         self._next_ahead_ms = now_ms + MIN_ASK_AHEAD_INTERVAL_MS
@@ -81,7 +86,10 @@
             self._upcoming[group] = now_ms + pause_ms
 
     def _ask_ahead(self, job, group, rule, now_ms):
-        """Ask for a step that is to open if it is time; returns when to look again."""
+        """Query for a step that opens later if it is time.
+
+        Returns the time until the next check.
+        """
         tasks = job.record.steps[group.step].tasks
         known = self._leader.permissions
         if not known.may_need_ahead(group, tasks, MIN_TICKET_REMAINDER_MS, now_ms):
@@ -140,7 +148,7 @@
         return min(times, default=None)
 
     def _suitable(self, job, group, now_ms):
-        """Ids of workers that could run the step, those with most room first."""
+        """Ids of workers that could run the step, most free capacity first."""
         leader, step = self._leader, job.record.steps[group.step]
         service = job.record.service
         pool = leader.pools.usable(service)
@@ -154,14 +162,18 @@
         return with_capacity + full
 
     def _limit_pool(self, pool, service, group):
-        """Of a large pool the permitted workers, and the freest to be asked about."""
+        """The part of a large pool to consider for a query.
+
+        These are the permitted workers, and of those without an answer the ones with
+        the most free capacity.
+        """
         known = self._leader.permissions
         names = known.unasked(group, [worker.target_id for worker in pool])
         wanted = [*known.ever_permitted(group), *names[:CONSIDERED_MOST]]
         return self._leader.pools.usable_among(service, wanted)
 
     def _remaining_ms(self, job, group, now_ms):
-        """About how long the earlier steps of a group take; None if some wait."""
+        """Estimated time until the earlier steps end; None if some of them wait."""
         left_ms = 0
         for earlier in job.record.steps[group.step].after:
             step = job.record.steps[earlier]
--- a/alderreach/ops/controller/placing.py
+++ b/alderreach/ops/controller/placing.py
@@ -1,13 +1,14 @@
 """The leader's planning pass: which tasks start now, and on which worker.
 
-A *group* is one step of one occurrence of a job. Groups with waiting tasks whose
-earlier steps are done stand in ``_queue`` in order of urgency; those whose earlier
-steps all run are upcoming, so that the permission service can be asked ahead.
-
-A pass is made only after something changed, and costs by what changed: a group is
-considered whole when something other than room changed for it, or its own time has
-come (a ticket that ages, patience, a report), and otherwise only against the workers
-that have gained room since the last pass.
+A *group* is one step of one occurrence of a job. ``_queue`` holds the groups with
+waiting tasks whose earlier steps are done, in order of urgency. Groups whose earlier
+steps are not done yet are upcoming: their permission queries can be sent in advance.
+
+A pass runs only after a change, and its cost is proportional to the change. A group is
+considered in full when something other than free capacity has changed for it, or when
+one of its timers has expired (ticket expiry, preemption patience, wait report).
+Otherwise it is considered only for the workers that have freed capacity since the last
+pass.
 """
 
 import heapq
@@ -17,20 +18,21 @@
 from alderreach.decisions.cell import choice, crash_blame, order
 from alderreach.ops.controller import permission_queries, preempting, runs, wait_reports
 
-# Both bound a pass, so that the quorum's heartbeats and the workers' leases are never
-# held up by a large job or a long queue; what is left is done by the next pass.
+# Bounds of one pass, so that a large job or a long queue never delays the quorum's
+# heartbeats or the workers' leases. The next pass continues with the remaining groups.
 MAX_STARTS_PER_PASS = 200
 MAX_PASS_MS = 25
-# A pass is made at least this often, for tickets that age and workers that recover.
+# Passes run at least this often, for expiring tickets and recovering workers.
 MAX_PASS_INTERVAL_MS = 20
 
 
 class Planner:
-    """Waiting groups of one term of leadership."""
+    """Plans the waiting groups of one term of leadership."""
 
     def __init__(self, leader):
         self._leader = leader
-        # Since when each group waits, their order, and when each is considered whole.
+        # The time since which each group waits, the order of the groups, and the time
+        # at which each is considered in full.
         self._waiting = {}
         self._queue = order.UrgencyQueue()
         self._due_ms = {}
@@ -39,14 +41,14 @@
         self._queries = permission_queries.PermissionQueries(leader)
         self._preemptions = preempting.Preemptions(leader, self._rank)
         self._wait_reports = wait_reports.WaitReports(leader)
-        # Occurrences that wait for their time, by that time.
+        # A heap of (due time, group) for occurrences that are due later.
         self._scheduled = []
         self._next_pass_ms = 0
         for job in leader.state.jobs.values():
             self.job_added(job)
 
     def job_added(self, job):
-        """Queue what a job can start, now or at its times."""
+        """Queue the groups of a job that can start now or at their due times."""
         if job.state != cell_state.ACTIVE:
             return
         for occurrence, number in job.groups:
@@ -57,7 +59,7 @@
                 self._queries.add_upcoming(group)
 
     def on_run_ended(self, job_id, occurrence, number):
-        """A run of a group ended: it may wait again, or open the next steps."""
+        """Queue a group again after one of its runs ended, or open the next steps."""
         job = self._leader.state.jobs.get(job_id)
         if job is None or job.state != cell_state.ACTIVE:
             return
@@ -71,7 +73,7 @@
                 self._open(job, cell_state.GroupKey(job_id, occurrence, later))
 
     def plan(self, now_ms):
-        """Make a pass if anything changed or it is time."""
+        """Run a planning pass if something has changed or a pass is due."""
         leader = self._leader
         if not leader.needs_planning and now_ms < self._next_pass_ms:
             return
@@ -88,7 +90,7 @@
         self._queries.ahead(now_ms)
 
     def _refresh_pools(self, now_ms):
-        """Have groups considered whose permitted workers are others than before."""
+        """Update the pools; check groups whose permitted workers have changed."""
         leader = self._leader
         appeared, gone = leader.pools.refresh(now_ms)
         if not appeared and not gone:
@@ -99,7 +101,7 @@
                 self._due_ms[group] = min(self._due_ms[group], due_ms)
 
     def _consider_groups(self, now_ms):
-        """Consider the groups that something changed for, in order of urgency."""
+        """Consider the groups affected by changes, in order of urgency."""
         leader = self._leader
         for group in leader.groups_to_revisit:
             if group in self._due_ms:
@@ -131,13 +133,16 @@
         metrics.count("planning_starts", amount=started)
 
     def tidy(self):
-        """Forget what is kept of jobs that have ended."""
+        """Drop the records of jobs that have ended."""
         self._leader.drop_ended(self._ranks)
         self._preemptions.tidy()
         self._wait_reports.tidy(self._waiting.values(), self._leader.now_ms())
 
     def pending(self, queue_name):
-        """How many accepted jobs of a queue have started nothing, times left out."""
+        """The number of accepted jobs of a queue of which nothing has started.
+
+        Jobs with repeated occurrences don't count.
+        """
         return sum(
             job.state == cell_state.ACTIVE
             and not job.has_started
@@ -147,7 +152,7 @@
         )
 
     def _open(self, job, group):
-        """A group may start now, or at its time; one that waits already goes on."""
+        """Queue a group now or at its due time, unless it is already waiting."""
         if group in self._waiting:
             return
         self._queries.remove_upcoming(group)
@@ -158,7 +163,7 @@
             self._add_waiting(job, group)
 
     def _add_waiting(self, job, group):
-        """A group waits from now on; told in the log beside what starts of it."""
+        """Queue a group and log that its step has opened."""
         self._enqueue(job, group)
         self._leader.needs_planning = True
         step = job.record.steps[group.step]
@@ -176,11 +181,12 @@
             self._queue.add(group, self._rank(job, group), self._leader.cell_ms())
 
     def _latest_due_ms(self):
-        """Occurrences due up to this moment may start.
+        """The latest due time of occurrences that may start now.
 
-        Cell time may be a little ahead of the submitter's; the slack is the workers'.
-        Starting on time rather than early leaves all of it for clocks that differ.
-        Nothing is due while the cell's time is not known.
+        Cell time may be slightly ahead of the submitter's clock, and workers tolerate
+        a small difference. Starting on time rather than early leaves all of this
+        tolerance for clock differences. Nothing is due while the cell's time is not
+        known.
         """
         if not self._leader.environment.is_time_known():
             return 0
@@ -194,7 +200,7 @@
                 self._add_waiting(job, group)
 
     def _rerank_if_config_changed(self):
-        """Put all groups in the order of a new configuration."""
+        """Reorder all waiting groups after a change of the configuration."""
         leader = self._leader
         if self._ranked_config is leader.state.config:
             return
@@ -228,9 +234,10 @@
         self._leader.permissions.placed(group)
 
     def _consider_in_full(self, group, now_ms):
-        """Start what can be started of a group; returns how many tasks.
+        """Start as many tasks of a group as possible; returns their number.
 
-        For what is left, ask for permission, make room and report, as each is due.
+        For the remaining tasks, query for permission, preempt other runs and report the
+        wait, as each is due.
         """
         leader = self._leader
         job = leader.state.jobs[group.job_id]
@@ -252,7 +259,10 @@
         return started
 
     def _consider_freed(self, group, freed, now_ms):
-        """Start what fits of a group on workers that have gained room."""
+        """Start the tasks of a group that fit on workers with freed capacity.
+
+        Returns the number of started tasks.
+        """
         leader = self._leader
         job = leader.state.jobs[group.job_id]
         step = job.record.steps[group.step]
@@ -276,7 +286,7 @@
         return permissions.ticket(group, worker.target_id, now_ms) is not None
 
     def _pool(self, job, group, rule, now_ms):
-        """Usable workers on which a group may start."""
+        """The usable workers on which a group may start."""
         pools, service = self._leader.pools, job.record.service
         if rule is None:
             pool = pools.usable(service)
@@ -286,7 +296,7 @@
         return [worker for worker in pool if self._may_use(group, worker)]
 
     def _may_use(self, group, worker):
-        """Whether a worker is not held for a group that goes before this one."""
+        """Whether a worker is not held for a more urgent group."""
         holder = self._preemptions.hold_of(worker.target_id)
         return (
             holder is None
@@ -295,7 +305,10 @@
         )
 
     def _place(self, job, group, pool, now_ms):
-        """Start what fits on some workers; returns how many started and are left."""
+        """Start the tasks that fit on the workers of a pool.
+
+        Returns the numbers of started and of remaining tasks.
+        """
         step = job.record.steps[group.step]
         tasks = job.groups[group[1:]]
         waiting = [
@@ -317,7 +330,7 @@
         return started, left
 
     def _place_tasks(self, group, step, tasks, waiting, pool, now_ms):
-        """Start as many of the waiting tasks as find a worker."""
+        """Start waiting tasks until one finds no worker; returns their number."""
         usable = choice.candidates(pool, step, group, now_ms)
         if not usable:
             return 0
@@ -337,7 +350,7 @@
         return len(waiting)
 
     def _domains_of(self, tasks):
-        """The failure domains in which some of a step's tasks are under way."""
+        """The failure domains in which some of the tasks are placed."""
         known = self._leader.workers
         placed = [
             known.get(task.target_id)
@@ -347,7 +360,7 @@
         return {worker.record.failure_domain for worker in placed if worker}
 
     def _place_gang(self, group, step, tasks, pool, now_ms):
-        """Start all tasks of a gang in one run, or none."""
+        """Start all tasks of a gang in one run, or none; returns their number."""
         if any(task.state != cell_state.WAITING for task in tasks):
             return 0
         chosen = choice.gather(pool, step, group, len(tasks), now_ms)
@@ -377,7 +390,10 @@
 
 
 def _choose(ranking, key, task, must_start_apart, now_ms):
-    """The best worker for a task, or None; one that starts apart avoids fresh runs."""
+    """The best worker for a task, or None.
+
+    A task that must start apart avoids workers with recently started runs.
+    """
     failed_on = task.target_id if task.failed_run else ""
     if not must_start_apart:
         return ranking.take(key, failed_on)
@@ -385,7 +401,7 @@
 
 
 def _due_ms(job, group):
-    """When a group's occurrence is due: at once unless the job has times."""
+    """When a group's occurrence is due: on acceptance unless the job repeats."""
     record = job.record
     if not record.repeat_count:
         return job.accepted_ms
--- a/alderreach/ops/controller/preempting.py
+++ b/alderreach/ops/controller/preempting.py
@@ -1,7 +1,7 @@
-"""Stops that make room for urgent steps; see ``decisions/cell/preemption.py``.
+"""Preemption of runs for urgent steps; see ``decisions/cell/preemption.py``.
 
-A worker on which runs were stopped is held for the step that asked until the stops are
-over, since the runs that gave way would otherwise take the first room back.
+A worker on which runs were stopped is held for the urgent step until the stops are
+complete. Otherwise the preempted tasks would take the freed capacity back.
 """
 
 import math
@@ -13,14 +13,14 @@
 
 
 class Hold(typing.NamedTuple):
-    """For which group a worker is held, and until when."""
+    """The group for which a worker is held, and the end of the hold."""
 
     group: cell_state.GroupKey
     until_ms: int
 
 
 class Preemptions:
-    """What was stopped in one term, and for whom.
+    """The preempted runs and the held workers of one term of leadership.
 
     ``rank_of(job, group)`` returns the ``order.Rank`` of a group.
     """
@@ -41,23 +41,23 @@
         return hold.group if hold else None
 
     def release_holds(self, is_waiting, now_ms):
-        """End holds that are over; their workers have room for others from now on."""
+        """Release holds that are over, and offer the workers to other groups."""
         for target_id, hold in list(self._holds.items()):
             if now_ms >= hold.until_ms or not is_waiting(hold.group):
                 del self._holds[target_id]
                 self._leader.pools.gained_room(target_id)
 
     def next_ms(self, job, group, since_ms):
-        """When room may be made for a group that waits since a moment."""
+        """When runs may next be preempted for a group that waits since ``since_ms``."""
         if self._leader.queue_of(job).priority >= self._leader.least_urgent():
             return math.inf
         return max(since_ms + preemption.PATIENCE_MS, self._next_ms.get(group, 0))
 
     def consider(self, job, group, pool, wanted, since_ms, now_ms):
-        """Make room for ``wanted`` tasks of a group on workers of its ``pool``.
+        """Preempt runs on workers of ``pool`` for ``wanted`` tasks of a group.
 
-        Nothing happens before the group has waited for ``preemption.PATIENCE_MS``, nor
-        while the stops made for it before may still be under way.
+        Nothing happens before the group has waited for ``preemption.PATIENCE_MS``, or
+        while earlier stops for the group may still be in progress.
         """
         if now_ms < self.next_ms(job, group, since_ms):
             return
@@ -75,7 +75,7 @@
                 self._stop(victims.worker, run, group)
 
     def tidy(self):
-        """Forget what is kept of jobs that have ended."""
+        """Drop the records of jobs that have ended."""
         self._leader.drop_ended(self._preemption_counts)
         self._leader.drop_ended(self._next_ms)
 
--- a/alderreach/ops/controller/requests.py
+++ b/alderreach/ops/controller/requests.py
@@ -1,9 +1,9 @@
 """The leader's answers to callers, operators and workers.
 
-What changes something is answered once it is committed. What only tells something is
-answered after a round of voters confirmed the leadership, so that a deposed leader,
-frozen and woken, neither denies a job that its successor accepted nor shows an old
-configuration.
+A request that changes the state is answered once the change is committed. A read is
+answered after a round of voters has confirmed the leadership. Otherwise a deposed
+leader that resumes after being frozen might deny a job that its successor accepted, or
+return an old configuration.
 """
 
 import functools
@@ -15,9 +15,9 @@
 from alderreach.decisions.cell import choice
 from alderreach.ops.controller import runs, worker_lifecycle, worker_polls
 
-# When to come back while the cell can't answer: about an election.
+# Suggested retry delay while the cell can't answer: about the duration of an election.
 RETRY_AFTER_MS = 1000
-# Why a job is turned away as invalid: more tasks than this in one job.
+# A job with more tasks than this is rejected as invalid.
 TASKS_PER_JOB_MAX = 20_000
 
 ACCEPTED = "accepted"
@@ -31,29 +31,29 @@
 
 
 def answer(kind, text="", number=0, retry_after_ms=0, body=b""):
-    """A ``cell.CellAnswer``, with what its kind does not need left empty."""
+    """A ``cell.CellAnswer``; fields that its kind does not need stay empty."""
     return cell.CellAnswer(kind, text, number, retry_after_ms, body)
 
 
 def not_ready():
-    """The answer while nothing can be known or changed."""
+    """The answer while the cell can neither be read nor changed."""
     return answer(NOT_READY, retry_after_ms=RETRY_AFTER_MS)
 
 
 def handle(term, request, reply):
-    """Take one request; ``reply`` is called once with its ``cell.CellAnswer``."""
+    """Handle one request; ``reply`` is called once with its ``cell.CellAnswer``."""
     handler = HANDLERS.get(type(request))
     if handler is None:
-        logging.error("no request: %s", type(request).__name__)
+        logging.error("unknown type of request: %s", type(request).__name__)
         reply(answer(INVALID))
         return
     handler(term, request, reply)
 
 
 def find_queue(config, host, path):
-    """The queue with the longest prefix that fits, and what follows the prefix.
+    """The queue with the longest matching prefix, and the path after the prefix.
 
-    Returns (None, "") if no queue has this address.
+    Returns (None, "") if no queue matches.
     """
     fitting = [
         queue
@@ -67,7 +67,10 @@
 
 
 def _requires_queue(handler):
-    """Find the queue first; without a configuration or a queue, say so."""
+    """Decorate a handler that needs the queue of a request.
+
+    Requests are answered here if there is no configuration or no matching queue.
+    """
 
     @functools.wraps(handler)
     def with_queue(term, request, reply):
@@ -135,7 +138,7 @@
 
 
 def _is_placeable(leader, record):
-    """Whether some worker known now could hold a task of each step, for the log."""
+    """Whether the known workers suit a task of each step; only for the log."""
     pool = [w for w in leader.workers.values() if w.record.service == record.service]
     return all(
         any(choice.is_suitable(worker, step) for worker in pool)
@@ -154,7 +157,7 @@
 
 
 def _job_state_answer(term, job_id):
-    """What is committed; a job that is about to be counts as queued."""
+    """The answer with a job's committed state, "queued" if it is not committed yet."""
     job = term.committed().jobs.get(job_id)
     if job is not None:
         return answer(STATE, cell_state.shown_state(job))
@@ -204,10 +207,10 @@
 
 
 def _announce(term, request, reply):
-    """A worker's heartbeat; anything new in it is durable before it is acknowledged.
+    """Handle a worker's heartbeat; changes are committed before it is acknowledged.
 
-    An older life under a known id is answered and left alone: its heartbeat was held up
-    on the way.
+    A heartbeat of an older incarnation of a known worker was delayed on its way: it is
+    acknowledged and otherwise ignored.
     """
     leader, record = term.leader, request.record
     worker = leader.workers.get(record.target_id)
@@ -222,8 +225,9 @@
             return
         worker.sequence = request.sequence
         if record.state == "ready":
-            # Who ends drains first and is not ready again: the goodbye was that of the
-            # life before, held up on its way. Believed, it would bar this one for ever.
+            # A worker drains before it ends and is not ready again. So the withdrawal
+            # came from the previous incarnation and was delayed on its way. Kept, it
+            # would bar this incarnation from new runs forever.
             worker.is_leaving = False
     if worker is None:
         worker = leader.add_worker(record)
@@ -251,7 +255,10 @@
 
 
 def _withdraw(term, request, reply):
-    """A worker that drained ends; it gets nothing more, and is looked at until gone."""
+    """Handle the withdrawal of a worker that has drained and is about to end.
+
+    It gets no new runs, and is polled until it is gone.
+    """
     worker = term.leader.workers.get(request.target_id)
     if worker is not None:
         worker.is_leaving = True
--- a/alderreach/ops/controller/running.py
+++ b/alderreach/ops/controller/running.py
@@ -1,4 +1,4 @@
-"""All that runs, taken up by a new leader and watched over as time passes."""
+"""Takeover of workers and runs by a new leader, and their periodic checks."""
 
 from absl import logging
 
@@ -6,13 +6,13 @@
 from alderreach.decisions.cell import workers
 from alderreach.ops.controller import order_answers, worker_lifecycle, worker_polls
 
-# Workers seen to in one tick; larger cells are gone through in several, so that ticks
-# leave the leader time for decisions.
+# The number of workers checked in one tick. In larger cells the checks are spread over
+# several ticks, which leaves the leader time for decisions.
 MAX_CHECKS_PER_TICK = 600
 
 
 def take_over(leader):
-    """Take up all workers and every run that the state has placed on them."""
+    """Take over all workers and the runs that the state has placed on them."""
     for record in leader.state.targets.values():
         leader.add_worker(record)
     now_ms = leader.now_ms()
@@ -30,7 +30,7 @@
 
 
 def tick(leader, now_ms):
-    """Send again what was not answered, poll again, and give up on expired leases."""
+    """Resend unanswered orders, poll, and act on expired leases and silent workers."""
     for worker in leader.next_to_check(MAX_CHECKS_PER_TICK):
         worker_lifecycle.check(leader, worker, now_ms)
         for run in list(worker.runs.values()):
@@ -43,7 +43,7 @@
 
 
 def _adopt_in_doubt(leader, key, task):
-    """Take up the runs of a task of which nobody knows yet what became of them."""
+    """Take over the runs of a task whose ends are not known yet."""
     for run, target_id, born_ms in task.in_doubt:
         worker = leader.workers.get(target_id)
         if worker is not None and worker.record.born_ms == born_ms:
--- a/alderreach/ops/controller/runs.py
+++ b/alderreach/ops/controller/runs.py
@@ -1,25 +1,26 @@
-"""Runs of tasks: decided, started, stopped and ended.
+"""Placing, starting, stopping and ending runs of tasks.
 
-An order that gets no answer may be lost, or be carried out seconds later. The same run
-is sent again; a worker that has it says so. It is placed elsewhere only after a
-confirmed stop and a poll sent later than that, or after the lease has expired: the
-order names the lease's end, so a worker refuses it afterwards.
+An order without an answer may be lost, or may be carried out seconds later. The same
+run is sent again, and a worker that already has it says so. The task is placed on
+another worker only after a confirmed stop followed by a poll, or after the lease has
+expired: the order contains the end of the lease, and the worker refuses it afterwards.
 """
 
 from alderreach.core import cell_state, crashes, orders
 from alderreach.core.generated import cell
 from alderreach.decisions.cell import crash_blame, health, workers
 
-# After ends, the next poll waits this long, so that ends that come close together are
-# listed by one poll. Polls cost the worker and us; a long gap holds up the steps that
-# follow.
+# Delay of the next poll after a run has ended, so that one poll lists several ends
+# that are close together. Polls cost the worker and the leader processor time, but a
+# longer gap would delay the steps that follow.
 POLL_GAP_MS = 15
-# A worker on which nothing runs any more has only its ends to forget.
+# The gap for a worker without runs, which only has to learn that it may forget its
+# ends.
 IDLE_POLL_GAP_MS = 250
 
 
 def place(leader, worker, key, run_number, step, ticket, checkpoint):
-    """Decide a start; the worker hears of it once that is durable."""
+    """Place a run; its start is sent once the decision is committed."""
     now_ms = leader.now_ms()
     run = workers.Run(key, run_number, step, now_ms, ticket)
     run.next_send_ms = None
@@ -32,7 +33,7 @@
 
 
 def close_job(leader, job):
-    """Stop all that runs of a job."""
+    """Stop all runs of a job."""
     for (occurrence, number), tasks in job.groups.items():
         for index, task in enumerate(tasks):
             if task.state == cell_state.PLACED:
@@ -44,11 +45,11 @@
 
 
 def close_run(leader, worker, run):
-    """Have a run stopped, also one whose start may still be on its way."""
+    """Stop a run, even if its start may still be on its way."""
     if run.state in (workers.CLOSING, workers.CLOSED):
         return
     if run.state == workers.ORDERED and run.sends == 0:
-        # Its start waits for the commit, which then finds it closing.
+        # The start is not committed yet; it will not be sent for a closing run.
         run.state = workers.CLOSING
         return
     run.state = workers.CLOSING
@@ -57,7 +58,7 @@
 
 
 def end_run(leader, worker, run, end_kind, checkpoint=""):
-    """Record the end of a run and give its room back."""
+    """Record the end of a run and release its resources."""
     worker.remove(run)
     leader.pools.gained_room(worker.target_id)
     key = run.key
@@ -87,7 +88,7 @@
 
 
 def resolve(leader, key, run_number, end_kind):
-    """Record what became of a run that was in doubt."""
+    """Record the end of a run that was in doubt."""
     job = leader.state.jobs.get(key.job_id)
     if job is None:
         return
@@ -103,7 +104,7 @@
 
 
 def stop_duplicate(leader, key, done_run):
-    """Stop a newer run of a task of which an older one is done."""
+    """Stop a newer run of a task if an older run is done."""
     task = cell_state.task_of(leader.state, key)
     worker = leader.workers.get(task.target_id)
     run = worker.runs.get(key) if worker else None
@@ -112,7 +113,7 @@
 
 
 def send_start(leader, worker, run):
-    """Send a start; how often is counted, since each copy may arrive late."""
+    """Send a start, and count the sends, since each of them may arrive late."""
     run.sends += 1
     leader.links[worker.target_id].order(run.order)
 
@@ -124,7 +125,7 @@
 
 
 def schedule_poll(leader, worker, gap_ms=POLL_GAP_MS):
-    """Have the next poll made after a gap, in which more ends may gather."""
+    """Schedule the next poll after a gap in which more runs may end."""
     if not worker.runs:
         gap_ms = IDLE_POLL_GAP_MS
     worker.poll_due_ms = leader.now_ms() + gap_ms
@@ -142,12 +143,12 @@
 
 
 def run_of(worker, task):
-    """The run here that a task names, or None."""
+    """The run of the task with this name on a worker, or None."""
     return worker.runs.get(key_of(task))
 
 
 def key_of(task):
-    """The key that a task's name spells, or None for a name of another kind."""
+    """The key of the task with this name, or None for a name of another form."""
     parts = task.split(".")
     try:
         return cell_state.TaskKey(parts[0], *(int(part) for part in parts[1:]))
@@ -156,7 +157,7 @@
 
 
 def _is_final(leader, job, key, end_kind):
-    """Whether a task is given up after an end like this."""
+    """Whether a task is given up after a run with this kind of end."""
     if end_kind == "failed" and not job.record.steps[key.step].long_running:
         failed = cell_state.failures_of(job, *key[1:]) + 1
         return failed >= leader.queue_of(job).max_attempts
@@ -171,13 +172,14 @@
 
 
 def _send_committed_start(leader, worker, run):
-    """Send a start that is durable now, unless its job ended meanwhile."""
+    """Send a start after its commit, unless the job has ended in the meantime."""
     if worker.runs.get(run.key) is not run:
         return
     job = leader.state.jobs[run.key.job_id]
     is_unwanted = run.state == workers.CLOSING or job.state != cell_state.ACTIVE
     if is_unwanted or worker.offset_ms is None:
-        # Without a clock, since a new life began meanwhile, no lease can be named.
+        # A new incarnation began in the meantime; its clock is not known yet, so no
+        # lease can be granted.
         end_run(leader, worker, run, "stopped")
         return
     now_ms = leader.now_ms()
@@ -195,7 +197,7 @@
 
 
 def _end_gang(leader, job, key, run_number, end_kind, checkpoint):
-    """One end of a gang's run stands for all: all are done, or the others stop."""
+    """Apply the end of one gang member: all are done, or the others are stopped."""
     tasks = job.groups[(key.occurrence, key.step)]
     if end_kind == "done":
         _end_lost_members(leader, job, key, run_number)
@@ -213,10 +215,10 @@
 
 
 def _end_lost_members(leader, job, key, run_number):
-    """Members of a run that was done count as done, also those given up before.
+    """Record members given up before the gang was done as done.
 
     A gang that is partly done is never started again, so a member whose worker crashed
-    as the gang was done has to count as done too.
+    just as the gang was done has to count as done too.
     """
     if job.record.steps[key.step].long_running:
         return
@@ -234,7 +236,7 @@
 
 
 def _update_health(leader, worker, run, end_kind):
-    """What an end says of its worker, and of how long such tasks take."""
+    """Update the worker's health, and the durations of such tasks, after an end."""
     if end_kind == "done":
         health.ended_well(worker)
         whole_ms = health.whole_ms(run, leader.now_ms())
--- a/alderreach/ops/controller/service.py
+++ b/alderreach/ops/controller/service.py
@@ -1,4 +1,4 @@
-"""The controller daemon: a keeper of the cell's log with the director on its task."""
+"""The controller daemon: a keeper of the cell's log that runs the director."""
 
 import typing
 
@@ -14,12 +14,12 @@
 
 
 class ExternalServices(typing.NamedTuple):
-    """How the world around the cell is spoken to; given by the thin main.
+    """Access to the services outside the cell, provided by the main script.
 
     ``calls`` is a ``target_link.Calls``. ``ask_permission(step, targets)`` returns a
-    list of ``cell.Ticket``, or None if the service gave no answer. ``serve_control``
-    opens the listener of workers and operators, given the context and the
-    ``leader_calls.LeaderCalls`` of this process.
+    list of ``cell.Ticket``, or None if the service gave no answer.
+    ``serve_control(context, leader_calls)`` opens the listener for workers and
+    operators.
     """
 
     calls: typing.Any
@@ -28,7 +28,7 @@
 
 
 def build(context, outside):
-    """Open the data folder, join or found the cell, and serve; see ``ops.daemon``."""
+    """Open the data folder, join or found the cell, and start; see ``ops.daemon``."""
     found = context.settings.discovery
     own = context.settings.listen.peers
     seeds = discovery.peer_addresses(found.seeds, found.peer_port)
