--- a/alderreach/ops/controller/target_link.py
+++ b/alderreach/ops/controller/target_link.py
@@ -1,8 +1,8 @@
-"""Calls to one worker: its orders in turn, and beside them one poll at a time.
+"""Calls to one worker: orders one after the other and, concurrently, one poll.
 
-All workers' calls share one event loop, so a worker that hangs holds up nobody else and
-an idle one costs no thread. This module only calls and reports; what is sent and when
-is the leader's task to decide.
+The calls to all workers share one event loop, so a worker that hangs delays no other
+worker and an idle worker needs no thread. This module only makes calls and reports
+their results; the leader decides what is sent and when.
 """
 
 import asyncio
@@ -14,12 +14,12 @@
 
 
 class Calls(typing.NamedTuple):
-    """How a worker is called; given by whoever speaks its protocol.
+    """The functions that call a worker; provided by the protocol's implementation.
 
     ``order(session, record, order)`` returns an ``orders.OrderResult`` and
     ``poll(session, record, poll)`` an ``orders.PollResult``; both are coroutines and
-    raise nothing. ``open_session(address)`` makes the connection that calls of one kind
-    share, an object with ``close()``.
+    raise no exceptions. ``open_session(address)`` opens the connection shared by calls
+    of one kind, an object with ``close()``.
     """
 
     open_session: typing.Callable
@@ -28,7 +28,7 @@
 
 
 class OrderAnswered(typing.NamedTuple):
-    """Mail for the leader's task: how an order ended."""
+    """The message to the leader's task with the result of an order."""
 
     epoch: int
     target_id: str
@@ -37,7 +37,7 @@
 
 
 class PollAnswered(typing.NamedTuple):
-    """Mail for the leader's task: how a poll ended."""
+    """The message to the leader's task with the result of a poll."""
 
     epoch: int
     target_id: str
@@ -46,9 +46,9 @@
 
 
 class TargetLink:
-    """Calls of one leader to one worker; ``put`` takes their mail.
+    """Calls of one leader to one worker; ``put`` receives their results as messages.
 
-    ``post(act)`` has something run on the event loop, and ``connections`` are the
+    ``post(act)`` calls ``act`` on the event loop, and ``connections`` are the
     ``WorkerConnections`` that all links share.
     """
 
@@ -84,7 +84,7 @@
         self._post(lambda: self._polls.add(poll))
 
     def close(self):
-        """Drop what is queued, and end after the calls under way."""
+        """Drop the queued calls, and close after the calls in progress."""
         self._post(self._orders.close)
         self._post(self._polls.close)
 
@@ -92,7 +92,7 @@
 class _CallQueue:
     """Calls of one kind, one after the other; used on the event loop only.
 
-    ``may_wait`` says that a call waits until there is a connection for it.
+    With ``may_wait``, calls wait until a connection is available.
     """
 
     def __init__(self, open_session, connections, call, may_wait, report):
@@ -125,7 +125,7 @@
                 item = self._queue.popleft()
                 self._report(item, await self._call_once(item))
         except Exception:
-            logging.exception("fault while calling a worker")
+            logging.exception("unexpected error while calling a worker")
         finally:
             self._task = None
             if self._is_closed:
--- a/alderreach/ops/controller/wait_reports.py
+++ b/alderreach/ops/controller/wait_reports.py
@@ -10,11 +10,11 @@
 from alderreach.core import cell_state
 from alderreach.decisions.cell import choice, waiting
 
-# Most steps start within a second on a calm day; an objective is seldom shorter.
+# Most steps start within a second under normal load, and few objectives are shorter.
 FIRST_REPORT_MS = 2000
-# A report looks at all workers, so a pass makes only a few.
+# A report examines all workers, so each pass makes only a few.
 MAX_REPORTS_PER_PASS = 4
-# A report names this many of the queues whose runs hold the room.
+# The number of queues that a report names as holders of the capacity.
 MAX_HOLDERS = 3
 
 
@@ -30,13 +30,13 @@
         self._reports_left = 0
 
     def begin_pass(self):
-        """A pass begins, which may report a few steps."""
+        """Begin a planning pass with its allowance of reports."""
         self._reports_left = MAX_REPORTS_PER_PASS
 
     def consider(self, job, group, pool, since_ms, now_ms):
-        """Report a step that waits since ``since_ms`` if its report is due.
+        """Report a step that has waited since ``since_ms`` if its report is due.
 
-        ``pool`` are the workers that it may use, by their permission and health.
+        ``pool`` are the usable workers that the permission service lets it use.
         """
         if now_ms < self.next_ms(group, since_ms) or not self._reports_left:
             return
@@ -56,17 +56,17 @@
         )
 
     def next_ms(self, group, since_ms):
-        """When the next report on a group that waits is due."""
+        """When the next report on a waiting group is due."""
         return self._due_ms.get(group, since_ms + FIRST_REPORT_MS)
 
     def on_all_started(self, group):
-        """Nothing of a group waits any more."""
+        """Reset the reports of a group that has no waiting tasks left."""
         self._due_ms.pop(group, None)
 
     def tidy(self, since_ms, now_ms):
-        """Show how many steps wait and for how long; forget those that have ended.
+        """Update the gauges of waiting steps, and drop the records of ended jobs.
 
-        ``since_ms`` are the moments since when the waiting steps wait.
+        ``since_ms`` are the times at which the waiting steps began to wait.
         """
         self._leader.drop_ended(self._due_ms)
         metrics = self._leader.environment.metrics
@@ -74,9 +74,9 @@
         metrics.gauge("longest_wait_ms", now_ms - min(since_ms, default=now_ms))
 
     def _holders(self, pool):
-        """The queues with most runs on some workers, as [queue, runs, urgency].
+        """The queues with most runs on a pool, as [queue, runs, priority].
 
-        A less urgent queue among them shows that preemption found nothing to stop.
+        If a less urgent queue is among them, preemption found no runs to stop.
         """
         counts = collections.Counter()
         for worker in pool:
--- a/alderreach/ops/controller/worker_connections.py
+++ b/alderreach/ops/controller/worker_connections.py
@@ -1,8 +1,8 @@
-"""A bound on the connections to workers that are open at once.
+"""A bound on the number of open connections to workers.
 
 A process may open a limited number of files, fewer than two for each of thousands of
-workers. Sessions that nobody uses are kept for the next call as long as there is room;
-beyond that the one that was idle for longest is closed.
+workers. Idle sessions stay open for their next call until the bound is reached; then
+the one that has been idle for the longest time is closed.
 """
 
 import asyncio
@@ -19,14 +19,14 @@
     def __init__(self, limit):
         self._limit = limit
         self._in_use = 0
-        # Sessions with a connection that nobody uses, the longest idle first.
+        # Idle sessions with an open connection, the longest idle first.
         self._idle = collections.OrderedDict()
         self._waiters = collections.deque()
 
     async def acquire(self, session, may_wait):
-        """Take a session for a call, if it may wait once there is a connection for it.
+        """Reserve a connection for a call; with ``may_wait``, wait until one is free.
 
-        Calls that may not wait go over the bound rather than come late.
+        Calls that may not wait exceed the bound rather than being delayed.
         """
         while may_wait and self._in_use >= self._limit:
             waiter = asyncio.get_running_loop().create_future()
@@ -37,7 +37,7 @@
         self._close_idle()
 
     def release(self, session):
-        """Give a session back after a call."""
+        """Release a session after a call."""
         self._in_use -= 1
         self._idle[session] = None
         self._close_idle()
@@ -48,7 +48,7 @@
                 break
 
     def forget(self, session):
-        """A session is closed for good."""
+        """Forget a session that will not be used again."""
         self._idle.pop(session, None)
 
     def _close_idle(self):
--- a/alderreach/ops/controller/worker_lifecycle.py
+++ b/alderreach/ops/controller/worker_lifecycle.py
@@ -1,8 +1,9 @@
 """The lifecycle of workers: heartbeats, silence, expired leases, restarts, drains.
 
-Nothing extends a worker's lease while its answers are missing, so whatever runs on one
-that is cut off ends before it is started anew. A worker that starts again under its id
-begins a new life, and what that life does not list is over.
+A worker's lease is not extended while its answers are missing. So the runs on a worker
+that is cut off end before their tasks are started again. A worker that restarts under
+the same id begins a new incarnation, and runs that this incarnation does not list are
+over.
 """
 
 from alderreach.core import cell_state, crashes, orders
@@ -10,32 +11,36 @@
 from alderreach.decisions.cell import crash_blame, health, workers
 from alderreach.ops.controller import runs
 
-# A worker without runs that neither announces itself nor answers for ten heartbeats.
+# A worker without runs is forgotten after ten heartbeats without contact.
 FORGET_AFTER_MS = 15_000
-# Where runs are in doubt, its next life may come later and prove a crash.
+# With runs in doubt a worker is kept for longer, since its next incarnation may
+# announce itself later and prove a crash.
 FORGET_IN_DOUBT_AFTER_MS = 60_000
-# A draining worker serves for 2 s at least, less the time until its leader knows.
+# A draining worker continues for at least 2 s; the rest is the delay until its leader
+# knows of the drain.
 MIN_DRAIN_MS = 1500
-# Tasks that may run twice are started elsewhere once their worker has been silent for
-# this: two polls that failed; at once if nothing listens there, which mostly means that
-# it has crashed. That is no proof, so the others have to wait for the lease.
+# Tasks that allow duplicates are started on another worker after this time without
+# contact, about two failed polls. They are started immediately if nothing listens at
+# the worker's address, which usually means that it has crashed. This is no proof, so
+# other tasks have to wait until the lease expires.
 ABANDON_AFTER_MS = 1500
 
 
 def on_heartbeat(leader, worker, clock_ms, now_ms):
-    """A heartbeat of a known life arrived."""
+    """Record a heartbeat of a known incarnation."""
     worker.announced_ms = now_ms
     if clock_ms >= 0:
         worker.note_clock(clock_ms, now_ms)
 
 
 def begin_new_incarnation(leader, worker):
-    """A newer life bears a known id; which runs it has, only its list can tell.
+    """Begin a new incarnation of a known worker.
 
-    Its clock, its ends and its heartbeats are numbered anew, and only the former life
-    said that it leaves. The new life may have taken a start before its first heartbeat
-    came here, so its runs are not over yet. Heartbeats of the former life do not come
-    between, since they name an earlier birth.
+    Its clock and the numbers of its ends and heartbeats start again, and a withdrawal
+    applies to the previous incarnation only. Runs are not ended before the first list
+    arrives, since the new incarnation may have accepted a start before its first
+    heartbeat arrived here. Late heartbeats of the previous incarnation are recognized
+    by their earlier ``born_ms``.
     """
     _record_incarnation_end(leader, worker, "worker_restarted")
     _begin_incarnation(leader, worker)
@@ -45,16 +50,16 @@
 
 
 def suspect_new_incarnation(leader, worker):
-    """An answer's clock is far behind: it is that of a life not yet heard of."""
+    """Begin an incarnation that is not announced yet, as a clock far behind shows."""
     leader.environment.record("worker_clock_behind", target=worker.target_id)
     _begin_incarnation(leader, worker)
 
 
 def apply_first_list(leader, worker, result, sent_ms):
-    """What the first list of a life does not name is over.
+    """End the runs that the first list of an incarnation does not name.
 
-    Starts that were answered after the poll was sent may be missing there, and so may
-    those still on their way, which are closed.
+    The list may lack runs whose starts were answered after the poll was sent. It may
+    also lack those whose starts are still on their way; these are stopped.
     """
     worker.awaits_list = False
     listed = {(entry.task, entry.run) for entry in result.running}
@@ -69,10 +74,10 @@
 
 
 def expire_lease(leader, worker):
-    """The lease is over without an answer: whatever ran there was killed.
+    """End the runs of a worker whose lease has expired; it has stopped them itself.
 
-    Whether the worker has crashed is in doubt, unless it refuses connections.
-    A run whose start waits for its commit is not concerned: its start brings a lease.
+    It is in doubt whether the worker has crashed, unless it refuses connections. A run
+    whose start waits for its commit stays, since the start will grant a lease.
     """
     sent = [run for run in worker.runs.values() if run.sends]
     if not sent:
@@ -88,7 +93,7 @@
 
 
 def end_incarnation(leader, worker):
-    """This life of the worker is over for certain."""
+    """Drop a worker whose incarnation is known to be over, and end its runs."""
     _record_incarnation_end(leader, worker, "worker_gone")
     ends = _ends_of_runs(leader, worker)
     _resolve_vanished(leader, worker)
@@ -100,10 +105,11 @@
 
 
 def abandon(leader, worker):
-    """Start tasks that may run twice elsewhere; what may still run keeps its room.
+    """Give up runs of tasks that allow duplicates, so that these start elsewhere.
 
-    A task that is suspected to have crashed a worker waits until it is known what
-    became of its run, or it would crash one worker after the other in the meantime.
+    The runs may still be active and keep their resources. A task that is suspected to
+    have crashed a worker waits until the end of its run is known. Otherwise it would
+    crash one worker after the other in the meantime.
     """
     for run in worker.runs.values():
         if not run.allow_duplicates or run.abandoned or not run.sends or run.is_long:
@@ -125,7 +131,7 @@
 
 
 def check(leader, worker, now_ms):
-    """What silence and draining call for as time passes."""
+    """Act on an expired lease, missing answers and the begin of a drain."""
     if now_ms >= worker.lapses_ms:
         expire_lease(leader, worker)
     is_silent = worker.failures and now_ms - worker.heard_ms >= ABANDON_AFTER_MS
@@ -138,11 +144,11 @@
 
 
 def evacuate(leader, worker, now_ms):
-    """A worker drains: what saves its progress, or starts anew anyway, leaves at once.
+    """Move checkpointing and long-running tasks away from a draining worker.
 
-    The worker may end some seconds later without a word, and whatever ran there would
-    wait for its lease. Tasks that save nothing stay, since most of them are done before
-    that; so do those that will be.
+    The worker may end some seconds later without notice, and the tasks on it would have
+    to wait until the lease expires. Tasks without checkpoints stay, since most of them
+    are done before that, and so do those that are predicted to be done soon.
     """
     for run in list(worker.runs.values()):
         job = leader.state.jobs.get(run.key.job_id)
@@ -162,7 +168,7 @@
 
 
 def forget_if_silent(leader, worker, now_ms):
-    """Drop a worker on which nothing runs and that nobody heard of for long."""
+    """Drop a worker without runs that has been silent for too long."""
     silent_ms = now_ms - max(worker.announced_ms, worker.heard_ms)
     timeout_ms = FORGET_IN_DOUBT_AFTER_MS if worker.vanished else FORGET_AFTER_MS
     if worker.runs or silent_ms <= timeout_ms:
@@ -174,14 +180,17 @@
 
 
 def clear_vanished(leader, worker):
-    """What vanished here did not crash it, or nobody will ever know."""
+    """Resolve the runs in doubt on a worker as lost, without blame for a crash.
+
+    They did not crash the worker, or it will never be known whether they did.
+    """
     for key, run_number in worker.vanished:
         runs.resolve(leader, key, run_number, "lost")
     worker.vanished = {}
 
 
 def _ends_of_runs(leader, worker):
-    """How the runs of a worker ended if its life has, by (key, number of the run)."""
+    """How a worker's runs ended if its incarnation is over, by (key, run number)."""
 
     def is_known(key):
         task = cell_state.task_of(leader.state, key)
@@ -191,7 +200,7 @@
 
 
 def _begin_incarnation(leader, worker):
-    """Keep how the runs of the life before ended, until its next list."""
+    """Keep the ends of the previous incarnation's runs until the next list."""
     if not worker.awaits_list:
         worker.former_ends = _ends_of_runs(leader, worker)
     _resolve_vanished(leader, worker)
@@ -199,7 +208,10 @@
 
 
 def _resolve_vanished(leader, worker):
-    """This life is over: what vanished there ended with it, or crashed it."""
+    """Resolve the runs in doubt on an incarnation that is over.
+
+    They were lost with it or, if its end was not planned, have crashed it.
+    """
     is_planned = worker.is_planned_to_end()
     for (key, run_number), end_kind in worker.vanished.items():
         runs.resolve(leader, key, run_number, "lost" if is_planned else end_kind)
@@ -207,7 +219,7 @@
 
 
 def _record_incarnation_end(leader, worker, event):
-    """Tell that a life is over, and whether the worker had said that it would end."""
+    """Log the end of an incarnation, and whether the worker had announced it."""
     is_planned = worker.is_planned_to_end()
     leader.environment.record(
         event,
@@ -220,11 +232,11 @@
 
 
 def _refuse_late_starts(leader, worker):
-    """Have a new life refuse what was sent to the one before and may arrive only now.
+    """Have a new incarnation refuse starts sent to the previous one that arrive late.
 
-    The new life's clock starts anew, so the lease that the start names, long over on
-    the old clock, seems to lie ahead; and it has seen no epoch. A run that was stopped
-    there is refused.
+    The clock of the new incarnation starts again, so a lease that has expired by the
+    old clock would seem valid, and it has not seen an epoch yet. A worker refuses the
+    start of a run that it was told to stop.
     """
     for task, run in worker.late_starts(leader.now_ms()):
         leader.links[worker.target_id].order(orders.Stop(task, run, leader.epoch))
--- a/alderreach/ops/controller/worker_polls.py
+++ b/alderreach/ops/controller/worker_polls.py
@@ -1,7 +1,7 @@
-"""Polls of workers: their lists, the ends among them, and what the lists call for.
+"""Polls of workers, and the actions that follow from their lists of runs and ends.
 
-An end is acknowledged only once it is in the log: a worker may forget what it has been
-acknowledged, and a new leader would start the task again.
+An end is acknowledged only once it is committed, since a worker may forget an
+acknowledged end. A new leader that does not know the end would start the task again.
 """
 
 from alderreach.core import cell_state, orders
@@ -9,18 +9,19 @@
 from alderreach.decisions.cell import health, pacing, workers
 from alderreach.ops.controller import runs, worker_lifecycle
 
-# How long the answer to a poll may wait for an end: a quarter of the time in which
-# serving tasks may be disturbed by others; and three polls fit into a lease.
+# A worker may hold its answer to a poll for this time until a run ends. It is a quarter
+# of the time for which serving tasks may be disturbed by others.
 MAX_POLL_WAIT_MS = 1000
+# The wait is shortened so that this many polls fit into a lease.
 POLLS_PER_LEASE = 3
-# A poll that failed is repeated after this, without extending the lease.
+# Delay before a failed poll is repeated, without extending the lease.
 POLL_RETRY_MS = 300
-# Two reports of the tail lie between two changes of a share.
+# Between two changes of a share there are two reports of the tail latency.
 MIN_PACE_INTERVAL_MS = 1100
 
 
 def poll(leader, worker, wait_ms=MAX_POLL_WAIT_MS):
-    """Poll a worker now, unless a poll is under way.
+    """Poll a worker now, unless a poll is in progress.
 
     The lease is extended only while the worker answers and its clock is known.
     """
@@ -45,7 +46,7 @@
 
 
 def handle_poll_answer(leader, message):
-    """Take a worker's lists; an answer to another poll than the last is too old."""
+    """Handle the answer to a worker's latest poll; ignore answers to older polls."""
     worker = leader.workers.get(message.target_id)
     if worker is None or worker.poll_sent_ms is None or message.poll is not worker.poll:
         return
@@ -89,11 +90,11 @@
 
 
 def poll_if_due(leader, worker, now_ms):
-    """Make the next poll if the worker needs one and its gap is over.
+    """Poll a worker if it needs a poll and the gap since the last one is over.
 
-    A worker that missed an answer gets nothing new until the next one. If nothing runs
-    there, only a poll brings that answer: heartbeats show that the worker is alive, not
-    that it hears the leader.
+    A worker that did not answer gets no new runs until its next answer. If it has no
+    runs, only a poll can bring that answer: heartbeats show that the worker is running,
+    but not that the leader can reach it.
     """
     is_needed = worker.runs or worker.has_ends
     wanted = is_needed or worker.failures or not worker.shown
@@ -112,12 +113,12 @@
             "worker_unresponsive", target=worker.target_id, outcome=result.outcome
         )
     if worker.is_leaving and result.outcome in orders.NOT_CONNECTED:
-        # It said that it ends, and no connection to it is made any more.
+        # It has announced its end and accepts no connections.
         worker_lifecycle.end_incarnation(leader, worker)
 
 
 def _forget_ends(leader, worker, cursor, incarnation):
-    """The ends up to ``cursor`` are durable here, so the worker may forget them."""
+    """Let the worker forget its ends up to ``cursor``, which are committed now."""
     worker.is_settling = False
     if leader.workers.get(worker.target_id) is not worker:
         return
@@ -128,7 +129,7 @@
 
 
 def _apply_ends(leader, worker, ended):
-    """Record the ends that concern runs of ours; True if any was listed."""
+    """Record the ends of known runs; returns whether any end was listed."""
     for end in sorted(ended):
         run = runs.run_of(worker, end.task)
         if run is not None and run.run == end.run:
@@ -139,7 +140,7 @@
 
 
 def _apply_late_success(leader, worker, end):
-    """A run given up for lost is listed as done, and its success counts still."""
+    """Count the success of a run that was given up as lost but is listed as done."""
     key = runs.key_of(end.task)
     task = cell_state.task_of(leader.state, key) if key else None
     if task is None:
@@ -166,7 +167,7 @@
 
 
 def _apply_running(leader, worker, running, sent_ms):
-    """Compare what a worker runs with what it should run."""
+    """Compare the runs that a worker lists with those that it should have."""
     now_ms = leader.now_ms()
     listed = {entry.task: entry for entry in running}
     for run in list(worker.runs.values()):
@@ -210,7 +211,7 @@
 
 
 def _handle_missing(leader, worker, run):
-    """A run that a fresh poll does not list; only a confirmed stop makes it final."""
+    """Handle a run that is missing in the list; it ends only after a confirmed stop."""
     if run.state == workers.ORDERED and run.sends == 0:
         return
     if run.state == workers.CLOSED:
@@ -230,7 +231,7 @@
 
 
 def _move_from_bad_worker(leader, worker, now_ms):
-    """Stop what stands still here, and all that pays if the worker is slow."""
+    """Move stalled runs away and, if the worker is slow, all for which that pays."""
     ratios = {}
     for run in list(worker.runs.values()):
         if run.state != workers.RUNNING or run.is_long:
