--- a/alderreach/ops/controller/permission_queries.py
+++ b/alderreach/ops/controller/permission_queries.py
@@ -18,7 +18,7 @@
 MIN_ASK_AHEAD_INTERVAL_MS = 20
 MAX_ASK_AHEAD_INTERVAL_MS = 100
 # The number of workers considered for one query in larger pools.
-CONSIDERED_MOST = 500
+MAX_CANDIDATE_WORKERS = 500
 
 
 class PermissionQueries:
@@ -65,7 +65,7 @@
         """The time at which a waiting group should next be checked for queries."""
         return self._leader.permissions.next_check_ms(group, now_ms)
 
-    def ahead(self, now_ms):
+    def prefetch(self, now_ms):
         """Send the queries for steps that open at about the time of the answer."""
         if now_ms < self._next_ahead_ms:
             return
@@ -152,7 +152,7 @@
         leader, step = self._leader, job.record.steps[group.step]
         service = job.record.service
         pool = leader.pools.usable(service)
-        if len(pool) > CONSIDERED_MOST:
+        if len(pool) > MAX_CANDIDATE_WORKERS:
             pool = self._limit_pool(pool, service, group)
         with_capacity, full = [], []
         for worker in pool:
@@ -169,7 +169,7 @@
         """
         known = self._leader.permissions
         names = known.unasked(group, [worker.target_id for worker in pool])
-        wanted = [*known.ever_permitted(group), *names[:CONSIDERED_MOST]]
+        wanted = [*known.ever_permitted(group), *names[:MAX_CANDIDATE_WORKERS]]
         return self._leader.pools.usable_among(service, wanted)
 
     def _remaining_ms(self, job, group, now_ms):
--- a/alderreach/ops/controller/placing.py
+++ b/alderreach/ops/controller/placing.py
@@ -87,7 +87,7 @@
         self._rerank_if_config_changed()
         self._queue.refresh(leader.cell_ms())
         self._consider_groups(now_ms)
-        self._queries.ahead(now_ms)
+        self._queries.prefetch(now_ms)
 
     def _refresh_pools(self, now_ms):
         """Update the pools; check groups whose permitted workers have changed."""
