--- a/alderreach/ops/controller/leader_state.py
+++ b/alderreach/ops/controller/leader_state.py
@@ -163,10 +163,10 @@
     def _count_in_doubt(self, task):
         return sum(self._worker_of(each) is not None for each in task.in_doubt)
 
-    def _worker_of(self, vanished):
+    def _worker_of(self, run_in_doubt):
         """The worker of a run in doubt, or None if that incarnation is over."""
-        worker = self.workers.get(vanished.target_id)
-        is_same = worker is not None and worker.record.born_ms == vanished.born_ms
+        worker = self.workers.get(run_in_doubt.target_id)
+        is_same = worker is not None and worker.record.born_ms == run_in_doubt.born_ms
         return worker if is_same else None
 
     def must_start_apart(self, task):
--- a/alderreach/ops/controller/permission_queries.py
+++ b/alderreach/ops/controller/permission_queries.py
@@ -95,10 +95,10 @@
         if not known.may_need_ahead(group, tasks, MIN_TICKET_REMAINDER_MS, now_ms):
             return MIN_ASK_AHEAD_INTERVAL_MS
         lead_ms = permissions.lead_ms(rule, permissions.ASKED_AT_MOST)
-        left_ms = self._remaining_ms(job, group, now_ms)
-        if left_ms is None:
+        remaining_ms = self._remaining_ms(job, group, now_ms)
+        if remaining_ms is None:
             return MIN_ASK_AHEAD_INTERVAL_MS
-        spare_ms = left_ms - lead_ms - MIN_TICKET_REMAINDER_MS
+        spare_ms = remaining_ms - lead_ms - MIN_TICKET_REMAINDER_MS
         if spare_ms > 0:
             pause_ms = min(spare_ms / 2, MAX_ASK_AHEAD_INTERVAL_MS)
             return max(pause_ms, MIN_ASK_AHEAD_INTERVAL_MS)
@@ -174,7 +174,7 @@
 
     def _remaining_ms(self, job, group, now_ms):
         """Estimated time until the earlier steps end; None if some of them wait."""
-        left_ms = 0
+        remaining_ms = 0
         for earlier in job.record.steps[group.step].after:
             step = job.record.steps[earlier]
             for index, task in enumerate(job.groups[(group.occurrence, earlier)]):
@@ -184,17 +184,17 @@
                     key = cell_state.TaskKey(
                         group.job_id, group.occurrence, earlier, index
                     )
-                    left_ms = max(
-                        left_ms, self._run_remaining_ms(task, key, step, now_ms)
+                    remaining_ms = max(
+                        remaining_ms, self._run_remaining_ms(task, key, step, now_ms)
                     )
-        return left_ms
+        return remaining_ms
 
     def _run_remaining_ms(self, task, key, step, now_ms):
         worker = self._leader.workers.get(task.target_id)
         run = worker.runs.get(key) if worker else None
         if run is None:
             return step.estimated_ms
-        left_ms = health.left_ms(run, now_ms)
-        if left_ms is None:
-            left_ms = step.estimated_ms - (now_ms - run.placed_ms)
-        return max(0, left_ms)
+        remaining_ms = health.left_ms(run, now_ms)
+        if remaining_ms is None:
+            remaining_ms = step.estimated_ms - (now_ms - run.placed_ms)
+        return max(0, remaining_ms)
--- a/alderreach/ops/controller/placing.py
+++ b/alderreach/ops/controller/placing.py
@@ -92,10 +92,10 @@
     def _refresh_pools(self, now_ms):
         """Update the pools; check groups whose permitted workers have changed."""
         leader = self._leader
-        appeared, gone = leader.pools.refresh(now_ms)
-        if not appeared and not gone:
+        appeared, disappeared = leader.pools.refresh(now_ms)
+        if not appeared and not disappeared:
             return
-        for group in leader.permissions.workers_changed(appeared, gone):
+        for group in leader.permissions.workers_changed(appeared, disappeared):
             if group in self._due_ms:
                 due_ms = self._queries.next_ms(group, now_ms)
                 self._due_ms[group] = min(self._due_ms[group], due_ms)
--- a/alderreach/ops/controller/runs.py
+++ b/alderreach/ops/controller/runs.py
@@ -239,8 +239,8 @@
     """Update the worker's health, and the durations of such tasks, after an end."""
     if end_kind == "done":
         health.ended_well(worker)
-        whole_ms = health.whole_ms(run, leader.now_ms())
-        if whole_ms is not None:
-            leader.durations.setdefault(run.key[:3], []).append(whole_ms)
+        full_duration_ms = health.whole_ms(run, leader.now_ms())
+        if full_duration_ms is not None:
+            leader.durations.setdefault(run.key[:3], []).append(full_duration_ms)
     elif end_kind == "failed":
         strike(leader, worker, run.key.job_id)
--- a/alderreach/ops/controller/wait_reports.py
+++ b/alderreach/ops/controller/wait_reports.py
@@ -43,8 +43,8 @@
         self._reports_left -= 1
         waited_ms = now_ms - since_ms
         self._due_ms[group] = now_ms + waited_ms
-        standing = self._standing(job, group, pool, now_ms)
-        cause = waiting.cause(standing)
+        wait_state = self._wait_state(job, group, pool, now_ms)
+        cause = waiting.cause(wait_state)
         self._leader.environment.metrics.count("long_waits", cause)
         self._leader.environment.record(
             "step_waits",
@@ -52,7 +52,7 @@
             cause=cause,
             waited_ms=waited_ms,
             held_by=self._holders(pool),
-            **standing._asdict(),
+            **wait_state._asdict(),
         )
 
     def next_ms(self, group, since_ms):
@@ -90,7 +90,7 @@
             for (name, priority), runs in counts.most_common(MAX_HOLDERS)
         ]
 
-    def _standing(self, job, group, pool, now_ms):
+    def _wait_state(self, job, group, pool, now_ms):
         leader = self._leader
         step = job.record.steps[group.step]
         tasks = job.groups[group[1:]]
--- a/alderreach/ops/controller/worker_lifecycle.py
+++ b/alderreach/ops/controller/worker_lifecycle.py
@@ -155,8 +155,8 @@
         if job is None or not run.sends:
             continue
         step = job.record.steps[run.key.step]
-        left_ms = health.left_ms(run, now_ms)
-        is_done_soon = left_ms is not None and left_ms < MIN_DRAIN_MS
+        remaining_ms = health.left_ms(run, now_ms)
+        is_done_soon = remaining_ms is not None and remaining_ms < MIN_DRAIN_MS
         if step.long_running or (step.checkpointing and not is_done_soon):
             leader.environment.record(
                 "run_evacuated",
