--- a/alderreach/ops/controller/director.py
+++ b/alderreach/ops/controller/director.py
@@ -1,9 +1,9 @@
-"""The part of a controller that owns the cell while its keeper leads the quorum.
+"""The part of a controller that manages the cell while its keeper leads the quorum.
 
 It runs on the keeper's task (``ops/keeper/extension.py``). While another controller
-leads, requests are answered with that one's address. A term of leadership begins once
-the keeper has applied every entry that earlier leaders may have committed, with a fresh
-copy of the agreed state, and ends with the term: nothing of it is carried over.
+leads, requests are answered with the address of that controller. A term of leadership
+begins with a fresh copy of the replicated state once the keeper has applied every entry
+that earlier leaders may have committed. At the end of the term its state is discarded.
 """
 
 from alderreach.core import codec, raft, raft_leader
@@ -21,56 +21,57 @@
     worker_polls,
 )
 
-# A new leader waits this long at the most for others' clocks; processes that have lost
-# their leader greet all controllers they know three times a second.
-CLOCKS_WAIT_MS = 3000
+# Bounds a new leader's wait for the clocks of other processes. Processes that have lost
+# their leader send a Greeting to all controllers they know three times a second.
+MAX_CLOCKS_WAIT_MS = 3000
 
 
-class Leading:
-    """One term: its state, its planner, and how requests reach the quorum."""
+class LeadershipTerm:
+    """One term of leadership: its state, its planner and its access to the quorum."""
 
     def __init__(self, epoch, environment):
         self.leader = leader_state.LeaderState(epoch, environment)
         self.planner = placing.Planner(self.leader)
-        self.leader.on_run_ended = self.planner.changed
+        self.leader.on_run_ended = self.planner.on_run_ended
         self.record = environment.record
         self.committed = environment.committed
         self._environment = environment
-        self.batches = {}
+        self.pending_effects = {}
         running.take_over(self.leader)
 
     def confirm(self, act):
-        """Call ``act`` once the leadership is confirmed; a lost one answers nobody."""
+        """Call ``act`` once the leadership is confirmed, or never if it was lost."""
         self._environment.confirm(act, lambda: None)
 
     def contact(self):
-        """Where workers reach this leader."""
+        """The address at which workers reach this leader."""
         return self._environment.contact
 
 
 class Director:
-    """See ``extension.py`` for when its methods are called.
+    """The cell's manager on one controller.
 
+    ``extension.py`` documents when its methods are called.
     ``open_link(record, epoch, put)`` makes a ``target_link.TargetLink``, and
-    ``ask_here(query, address)`` has this process put a question to the permission
-    service. ``record`` takes events for the log.
+    ``query_service(query, address)`` has this process query the permission service and
+    send the answer to ``address``. ``record`` writes events to the log.
     """
 
-    def __init__(self, context, port, open_link, ask_here, record):
+    def __init__(self, context, port, open_link, query_service, record):
         self._context = context
         self._clock = context.clock
-        self._post = context.transport.send
+        self._send = context.transport.send
         self._port = port
         self._make_link = open_link
-        self._ask_here = ask_here
+        self._query_service = query_service
         self._record = record
-        self._greeters = discovery.Greeters()
-        self._leading = None
+        self._peers = discovery.RecentPeers()
+        self._term = None
         self._contact = context.settings.cell.control
         self._own_address = context.settings.listen.peers
         self._next_housekeeping_ms = 0
         self._watch = settings_watch.SettingsWatch(context.settings_path, "controller")
-        self.seeker = discovery.Seeker(
+        self.finder = discovery.ControllerFinder(
             self._own_address,
             discovery.peer_addresses(
                 context.settings.discovery.seeds, context.settings.discovery.peer_port
@@ -78,102 +79,102 @@
             "controller",
             context.settings.process.failure_domain,
             context.clock,
-            self._post,
+            self._send,
         )
 
         self.leader_calls = leader_calls.LeaderCalls(
             self._own_address,
             self._addresses,
             self._is_isolated,
-            self._post,
+            self._send,
             context.clock,
             record,
         )
 
     def _addresses(self):
-        """Where to bring a request of this process itself, any thread may ask."""
+        """Addresses to try for a request of this process; callable from any thread."""
         return [
             self._port.leader_address(),
-            *self.seeker.controllers(),
+            *self.finder.controllers(),
             self._own_address,
         ]
 
     def _is_isolated(self):
-        """Whether this process reaches no leader and can't become one."""
-        if self._leading is not None:
+        """Whether this process can neither reach a leader nor become one."""
+        if self._term is not None:
             return False
-        return self.seeker.is_isolated(self._clock.monotonic_ms())
+        return self.finder.is_isolated(self._clock.monotonic_ms())
 
-    def handle(self, mail):
-        """Take what a worker's link reports."""
-        leading = self._leading
-        if leading is None or mail.epoch != leading.leader.epoch:
+    def handle(self, message):
+        """Handle the result of a call to a worker."""
+        term = self._term
+        if term is None or message.epoch != term.leader.epoch:
             return
-        if isinstance(mail, target_link.OrderAnswered):
-            order_answers.order_answered(leading.leader, mail)
-        elif isinstance(mail, target_link.PollAnswered):
-            worker_polls.poll_answered(leading.leader, mail)
+        if isinstance(message, target_link.OrderAnswered):
+            order_answers.handle_order_answer(term.leader, message)
+        elif isinstance(message, target_link.PollAnswered):
+            worker_polls.handle_poll_answer(term.leader, message)
 
     def deliver(self, received):
-        """Take a message of another process."""
+        """Handle a message from another process."""
         message, address = received.message, received.reply_address
         if isinstance(message, cell.CellRequest):
-            self._relayed(message, address)
+            self._handle_request(message, address)
         elif isinstance(message, cell.Greeting):
-            self._greeted(message, address)
+            self._handle_greeting(message, address)
         elif isinstance(message, cell.GreetingReply):
-            self.seeker.heard(message, address, self._clock.monotonic_ms())
+            self.finder.handle_reply(message, address, self._clock.monotonic_ms())
         elif isinstance(message, cell.PermissionAnswer):
-            self._permission_answered(message)
+            self._handle_permission_answer(message)
         elif isinstance(message, cell.PermissionQuery):
-            self._ask_here(message, address)
+            self._query_service(message, address)
         elif isinstance(message, cell.CellReply):
             self.leader_calls.deliver(message)
 
     def tick(self, now_ms):
-        """Let time pass."""
-        self.seeker.tick(now_ms)
+        """Do the work that is due at ``now_ms``."""
+        self.finder.tick(now_ms)
         if now_ms >= self._next_housekeeping_ms:
             self._next_housekeeping_ms = now_ms + discovery.GREETING_INTERVAL_MS
-            self._greeters.forget_silent(now_ms)
+            self._peers.forget_silent(now_ms)
             self._reload_if_changed(now_ms)
-            if self._leading is not None:
-                self._leading.leader.tidy()
-                self._leading.planner.tidy()
-        if self._leading is not None and self._may_act(now_ms):
-            for helper in self._leading.leader.permissions.give_up_overdue(now_ms):
+            if self._term is not None:
+                self._term.leader.tidy()
+                self._term.planner.tidy()
+        if self._term is not None and self._may_act(now_ms):
+            for helper in self._term.leader.permissions.give_up_overdue(now_ms):
                 self._record("permission_overdue", helper=helper)
-            running.tick(self._leading.leader, now_ms)
+            running.tick(self._term.leader, now_ms)
 
     def before_write(self, now_ms):
-        """Begin or end a term; plan, and propose what was decided."""
+        """Follow changes of the leadership, plan, and propose the decisions."""
         self._follow_leadership()
-        leading = self._leading
-        if leading is None or not self._may_act(now_ms):
+        term = self._term
+        if term is None or not self._may_act(now_ms):
             return
-        leading.planner.plan(now_ms)
-        batch, effects = leading.leader.take_batch()
+        term.planner.plan(now_ms)
+        batch, effects = term.leader.pop_batch()
         if batch is None:
             return
         index = self._port.propose(codec.pack(batch))
         if index is None:
-            leading.leader.put_back(batch, effects)
+            term.leader.requeue_batch(batch, effects)
         else:
-            leading.batches[index] = effects
+            term.pending_effects[index] = effects
 
     def applied(self, index, term):
-        """An entry is committed: what waited for it happens now."""
-        leading = self._leading
-        if leading is None or term != leading.leader.epoch:
+        """Run the effects that waited for the entry at ``index`` to be committed."""
+        current = self._term
+        if current is None or term != current.leader.epoch:
             return
-        for effect in leading.batches.pop(index, ()):
+        for effect in current.pending_effects.pop(index, ()):
             effect()
 
     def _reload_if_changed(self, now_ms):
         changed = self._watch.poll(now_ms)
         if changed is not None:
             found = changed.discovery
-            self.seeker.set_seeds(
+            self.finder.set_seeds(
                 discovery.peer_addresses(found.seeds, found.peer_port)
             )
             self._record("settings_reloaded", seeds=found.seeds)
@@ -184,17 +185,17 @@
 
     def _follow_leadership(self):
         node = self._port.node
-        epoch = node.term if self._is_in_charge() else None
-        if self._leading is not None and self._leading.leader.epoch != epoch:
-            self._record("leadership_lost", epoch=self._leading.leader.epoch)
-            self._leading.leader.close()
-            self._leading = None
-        if epoch is not None and self._leading is None:
+        epoch = node.term if self._is_caught_up_leader() else None
+        if self._term is not None and self._term.leader.epoch != epoch:
+            self._record("leadership_lost", epoch=self._term.leader.epoch)
+            self._term.leader.close()
+            self._term = None
+        if epoch is not None and self._term is None:
             self._record("leadership_gained", epoch=epoch)
-            self._leading = Leading(epoch, self._environment())
+            self._term = LeadershipTerm(epoch, self._environment())
 
-    def _is_in_charge(self):
-        """Whether it leads and has applied all that earlier leaders committed."""
+    def _is_caught_up_leader(self):
+        """Whether it leads and has applied all entries committed by earlier leaders."""
         node, state = self._port.node, self._port.state_of()
         return (
             node.role == raft.LEADER
@@ -211,9 +212,9 @@
             confirm=self._port.confirm,
             committed=lambda: self._port.state_of().cell,
             cell_offset_ms=self._cell_offset_ms,
-            is_time_known=self._time_judge(),
+            is_time_known=self._make_time_check(),
             helpers=self._helpers,
-            ask=self._ask,
+            send_query=self._send_query,
             open_link=self._open_link,
             contact=self._contact,
         )
@@ -223,85 +224,86 @@
 
     def _cell_offset_ms(self):
         now_ms = self._clock.monotonic_ms()
-        return self._greeters.cell_offset_ms(self._clock.wall_ms(), now_ms)
+        return self._peers.cell_offset_ms(self._clock.wall_ms(), now_ms)
 
-    def _time_judge(self):
-        """A function that says whether the cell's time can be relied on in a new term.
+    def _make_time_check(self):
+        """Return a function that says whether a new term can rely on the cell's time.
 
-        A new leader whose own clock is wrong would otherwise start what is not due yet.
-        A cell of so few processes that no more will come goes by the clocks that there
-        are.
+        Otherwise a new leader whose own clock is wrong would start jobs that are not
+        due yet. A cell too small to have ``discovery.MIN_PEER_CLOCKS`` other clocks
+        relies on the clocks it has after ``MAX_CLOCKS_WAIT_MS``.
         """
         began_ms = self._clock.monotonic_ms()
 
         def is_known():
             now_ms = self._clock.monotonic_ms()
-            if now_ms - began_ms >= CLOCKS_WAIT_MS:
+            if now_ms - began_ms >= MAX_CLOCKS_WAIT_MS:
                 return True
-            return self._greeters.has_clocks(now_ms)
+            return self._peers.has_enough_clocks(now_ms)
 
         return is_known
 
     def _helpers(self):
-        """Who may ask the permission service: everyone heard lately, and this process.
+        """Processes that may query the permission service: recent peers and this one.
 
-        Frontends come first, since controllers have more to do, and among each those of
-        the own failure domain, which no cut or lossy link keeps from the leader.
+        Frontends come first, since controllers have more to do. Within each role, peers
+        of the leader's own failure domain come first, since no network partition or
+        lossy link separates them from the leader.
         """
         now_ms = self._clock.monotonic_ms()
         domain = self._context.settings.process.failure_domain
         return [
-            *self._greeters.present(now_ms, "frontend", domain),
-            *self._greeters.present(now_ms, "controller", domain),
+            *self._peers.recent_addresses(now_ms, "frontend", domain),
+            *self._peers.recent_addresses(now_ms, "controller", domain),
             self._own_address,
         ]
 
-    def _ask(self, question):
-        step = ".".join(str(part) for part in question.group)
-        query_id = f"{self._leading.leader.epoch}/{question.query_id}"
-        query = cell.PermissionQuery(query_id, step, question.target_ids)
-        self._post(question.helper, query)
+    def _send_query(self, query):
+        step = ".".join(str(part) for part in query.group)
+        query_id = f"{self._term.leader.epoch}/{query.query_id}"
+        message = cell.PermissionQuery(query_id, step, query.target_ids)
+        self._send(query.helper, message)
 
-    def _permission_answered(self, message):
-        """Take an answer to a question of this term; each numbers its own from 1.
+    def _handle_permission_answer(self, message):
+        """Handle the answer to a query of this term; ignore answers to earlier terms.
 
-        An answer to a question of an earlier term must not be taken for the answer to
-        another one.
+        Each term numbers its queries from 1, so a late answer to a query of an earlier
+        term could otherwise be mistaken for the answer to a query of this term.
         """
-        if self._leading is None:
+        if self._term is None:
             return
         epoch, _slash, query_id = message.query_id.partition("/")
-        if epoch == str(self._leading.leader.epoch):
-            permission_answers.take(
-                self._leading.leader, message._replace(query_id=query_id)
+        if epoch == str(self._term.leader.epoch):
+            permission_answers.handle_answer(
+                self._term.leader, message._replace(query_id=query_id)
             )
 
-    def _greeted(self, message, address):
+    def _handle_greeting(self, message, address):
         now_ms = self._clock.monotonic_ms()
         if address != self._own_address:
-            self._greeters.note(address, message, now_ms)
-        self._post(address, self._greeting_reply())
+            self._peers.record_greeting(address, message, now_ms)
+        self._send(address, self._greeting_reply())
 
     def _greeting_reply(self):
-        """Who leads: this controller, or the one that the quorum protocol follows.
+        """The reply that names the leader known to this controller.
 
-        A leader that has lost its leadership and knows of no other names nobody. Did it
-        name itself still, frontends that reach it would go on greeting it, and its
-        successor would have no helpers.
+        A controller that has lost its leadership and knows no other leader names none.
+        If it still named itself, frontends that reach it would keep sending it their
+        greetings, and its successor would have no helpers.
         """
         controllers = [m.address for m in self._port.node.members if m.address]
-        if self._leading is not None:
-            epoch = self._leading.leader.epoch
+        if self._term is not None:
+            epoch = self._term.leader.epoch
             return cell.GreetingReply(self._own_address, epoch, controllers)
         leader = self._port.leader_address()
         if leader == self._own_address:
             leader = ""
         return cell.GreetingReply(leader, self._port.node.term, controllers)
 
-    def _relayed(self, message, address):
+    def _handle_request(self, message, address):
         def reply(status, payload=b""):
-            epoch = self._leading.leader.epoch if self._leading else 0
-            self._post(
+            epoch = self._term.leader.epoch if self._term else 0
+            self._send(
                 address,
                 cell.CellReply(
                     message.request_id,
@@ -313,11 +315,11 @@
             )
 
         unpacked = codec.unpack(message.payload).ok()
-        if self._leading is None or unpacked is None:
+        if self._term is None or unpacked is None:
             reply("not_leader")
             return
         requests.handle(
-            self._leading,
+            self._term,
             unpacked,
             lambda answer: reply("answered", codec.pack(answer)),
         )
--- a/alderreach/ops/controller/permission_answers.py
+++ b/alderreach/ops/controller/permission_answers.py
@@ -1,12 +1,12 @@
-"""The permission service's answers, as a leader takes them up."""
+"""Handling of the permission service's answers by the leader."""
 
 
-def take(leader, message):
-    """Note a ``cell.PermissionAnswer``; the steps it concerns may be placed now."""
-    question = leader.permissions.find(message.query_id)
-    if question is None:
+def handle_answer(leader, message):
+    """Record a ``cell.PermissionAnswer`` and have its group considered in full."""
+    query = leader.permissions.find(message.query_id)
+    if query is None:
         return
-    job = leader.state.jobs.get(question.group[0])
+    job = leader.state.jobs.get(query.group[0])
     rule = leader.queue_of(job).permission if job else None
     leader.permissions.on_answer(
         message.query_id,
@@ -15,11 +15,11 @@
         rule,
         leader.now_ms(),
     )
-    leader.revisit(question.group)
+    leader.revisit(query.group)
     leader.environment.record(
         "permission_answered",
-        task=".".join(str(part) for part in question.group),
+        task=".".join(str(part) for part in query.group),
         is_decided=message.is_decided,
         granted=len(message.granted),
-        asked=len(question.target_ids),
+        asked=len(query.target_ids),
     )
--- a/alderreach/ops/controller/permission_queries.py
+++ b/alderreach/ops/controller/permission_queries.py
@@ -1,103 +1,111 @@
-"""The leader's questions to the permission service: which step, about which workers.
+"""The leader's queries to the permission service: for which steps and workers.
 
-A step whose permitted workers have no room for it is asked for with further workers and
-with those whose tickets run out; a step that is to open, ahead of its time while the
-steps before it run. What is worth asking is decided in
-``decisions/cell/permissions.py``.
+If the permitted workers have no free capacity for a waiting step, the leader queries
+about further workers and about those whose tickets expire soon. For a step that opens
+later, it sends the query in advance while the earlier steps run.
+``decisions/cell/permissions.py`` decides which workers are worth a query.
 """
 
 from alderreach.core import cell_state
 from alderreach.decisions.cell import choice, health, permissions
 
-# Beyond the predicted end of the earlier steps, tickets should last for at least this.
-AHEAD_MS = 400
-# How soon and how late a step that is to open is looked at again. In between it is at
-# half of the time until its question is due, since earlier steps may end early.
-ASK_AHEAD_INTERVAL_MS = 20
-ASK_AHEAD_LATEST_MS = 100
-# Of larger pools only so many workers are considered for a question.
-CONSIDERED_MOST = 500
+# Tickets should remain valid for at least this time after the predicted end of the
+# earlier steps.
+MIN_TICKET_REMAINDER_MS = 400
+# Bounds of the interval between checks of a step that opens later. Within them, the
+# next check is at half of the time until the query is due, since earlier steps may end
+# early.
+MIN_ASK_AHEAD_INTERVAL_MS = 20
+MAX_ASK_AHEAD_INTERVAL_MS = 100
+# The number of workers considered for one query in larger pools.
+MAX_CANDIDATE_WORKERS = 500
 
 
 class PermissionQueries:
-    """Questions of one term; ``begin`` comes first in each planning pass."""
+    """The queries of one term of leadership.
+
+    ``begin_pass`` has to be called first in each planning pass.
+    """
 
     def __init__(self, leader):
         self._leader = leader
-        # Groups that open later, and when to look at them next.
+        # Groups that open later, each with the time of its next check.
         self._upcoming = {}
         self._helpers = ()
-        self._quickest_ms = None
+        self._min_decision_ms = None
         self._next_ahead_ms = 0
 
-    def opens_later(self, group):
-        """A group whose earlier steps are not done yet."""
+    def add_upcoming(self, group):
+        """Add a group whose earlier steps are not done yet."""
         self._upcoming[group] = 0
 
-    def drop(self, group):
-        """A group that has opened, or will never."""
+    def remove_upcoming(self, group):
+        """Remove a group that has opened or will never open."""
         self._upcoming.pop(group, None)
 
-    def begin(self):
-        """Note who can ask, for all questions of one pass."""
+    def begin_pass(self):
+        """Determine the available helpers for all queries of a pass."""
         self._helpers = self._leader.environment.helpers()
-        self._quickest_ms = self._quickest_decision_ms()
+        self._min_decision_ms = self._find_min_decision_ms()
 
-    def for_waiting(self, job, group, rule, tasks, has_permitted, now_ms):
-        """See to tickets for a group of which so many tasks were not placed.
+    def query_for_waiting(self, job, group, rule, tasks, has_permitted, now_ms):
+        """Query for tickets, if allowed, for a group with ``tasks`` unplaced tasks.
 
-        ``has_permitted`` says that workers with good tickets were tried; if none were,
-        the tickets have run out, and the workers may have room.
+        ``has_permitted`` says that workers with valid tickets were tried. If none were,
+        the tickets have expired, and the workers may have free capacity.
         """
         known = self._leader.permissions
         if has_permitted:
             known.record_shortage(group)
         if known.may_ask(group, now_ms):
             ahead_ms = known.renewal_lead_ms(rule, tasks, self._helpers)
-            self._ask(job, group, rule, tasks, ahead_ms, now_ms)
+            self._query(job, group, rule, tasks, ahead_ms, now_ms)
 
     def next_ms(self, group, now_ms):
-        """When a group that waits should be looked at for something to ask."""
+        """The time at which a waiting group should next be checked for queries."""
         return self._leader.permissions.next_check_ms(group, now_ms)
 
-    def ahead(self, now_ms):
-        """Ask for steps that open about when the answer comes."""
+    def prefetch(self, now_ms):
+        """Send the queries for steps that open at about the time of the answer."""
         if now_ms < self._next_ahead_ms:
             return
-        self._next_ahead_ms = now_ms + ASK_AHEAD_INTERVAL_MS
+        self._next_ahead_ms = now_ms + MIN_ASK_AHEAD_INTERVAL_MS
         leader = self._leader
         for group, due_ms in list(self._upcoming.items()):
             if now_ms < due_ms:
                 continue
             job = leader.state.jobs.get(group.job_id)
             if job is None or job.state != cell_state.ACTIVE:
-                self.drop(group)
+                self.remove_upcoming(group)
                 leader.permissions.forget(group)
                 continue
             rule = leader.queue_of(job).permission
-            pause_ms = ASK_AHEAD_LATEST_MS
+            pause_ms = MAX_ASK_AHEAD_INTERVAL_MS
             if rule is not None:
                 pause_ms = self._ask_ahead(job, group, rule, now_ms)
             self._upcoming[group] = now_ms + pause_ms
 
     def _ask_ahead(self, job, group, rule, now_ms):
-        """Ask for a step that is to open if it is time; returns when to look again."""
+        """Query for a step that opens later if it is time.
+
+        Returns the time until the next check.
+        """
         tasks = job.record.steps[group.step].tasks
         known = self._leader.permissions
-        if not known.may_ask_ahead(group, tasks, AHEAD_MS, now_ms):
-            return ASK_AHEAD_INTERVAL_MS
+        if not known.may_ask_ahead(group, tasks, MIN_TICKET_REMAINDER_MS, now_ms):
+            return MIN_ASK_AHEAD_INTERVAL_MS
         lead_ms = permissions.lead_ms(rule, permissions.MAX_NEW_PER_QUERY)
-        left_ms = self._left_ms(job, group, now_ms)
-        if left_ms is None:
-            return ASK_AHEAD_INTERVAL_MS
-        spare_ms = left_ms - lead_ms - AHEAD_MS
+        remaining_ms = self._remaining_ms(job, group, now_ms)
+        if remaining_ms is None:
+            return MIN_ASK_AHEAD_INTERVAL_MS
+        spare_ms = remaining_ms - lead_ms - MIN_TICKET_REMAINDER_MS
         if spare_ms > 0:
-            pause_ms = min(spare_ms / 2, ASK_AHEAD_LATEST_MS)
-            return max(pause_ms, ASK_AHEAD_INTERVAL_MS)
-        self._ask(job, group, rule, tasks, AHEAD_MS, now_ms)
-        return ASK_AHEAD_INTERVAL_MS
+            pause_ms = min(spare_ms / 2, MAX_ASK_AHEAD_INTERVAL_MS)
+            return max(pause_ms, MIN_ASK_AHEAD_INTERVAL_MS)
+        self._query(job, group, rule, tasks, MIN_TICKET_REMAINDER_MS, now_ms)
+        return MIN_ASK_AHEAD_INTERVAL_MS
 
-    def _ask(self, job, group, rule, tasks, ahead_ms, now_ms):
+    def _query(self, job, group, rule, tasks, ahead_ms, now_ms):
         known = self._leader.permissions
         if not self._has_helper(rule):
             return
@@ -106,32 +114,32 @@
         wanted = known.workers_to_query(
             group, suitable, tasks, ahead_ms, now_ms, is_gang
         )
-        self._put(group, wanted, rule, tasks, now_ms)
+        self._send_query(group, wanted, rule, tasks, now_ms)
 
     def _has_helper(self, rule):
         known = self._leader.permissions
-        return known.idle_helper(rule, self._helpers, self._quickest_ms) is not None
+        return known.idle_helper(rule, self._helpers, self._min_decision_ms) is not None
 
-    def _put(self, group, target_ids, rule, tasks, now_ms):
+    def _send_query(self, group, target_ids, rule, tasks, now_ms):
         leader = self._leader
         if not target_ids:
             longest_ms = permissions.max_renewal_lead_ms(rule, tasks)
             leader.permissions.pause_checks(group, now_ms, longest_ms)
             return
-        question = leader.permissions.ask(
-            group, target_ids, rule, self._helpers, now_ms, self._quickest_ms
+        query = leader.permissions.ask(
+            group, target_ids, rule, self._helpers, now_ms, self._min_decision_ms
         )
-        if question is None:
+        if query is None:
             return
-        leader.environment.ask(question)
+        leader.environment.send_query(query)
         leader.environment.record(
             "permission_asked",
             task=".".join(str(part) for part in group),
-            helper=question.helper,
+            helper=query.helper,
             targets=len(target_ids),
         )
 
-    def _quickest_decision_ms(self):
+    def _find_min_decision_ms(self):
         """The shortest decision time among the queues' rules."""
         config = self._leader.state.config
         times = [
@@ -142,29 +150,33 @@
         return min(times, default=None)
 
     def _suitable(self, job, group, now_ms):
-        """Ids of workers that could run the step, those with most room first."""
+        """Ids of workers that could run the step, most free capacity first."""
         leader, step = self._leader, job.record.steps[group.step]
         service = job.record.service
         pool = leader.pools.usable(service)
-        if len(pool) > CONSIDERED_MOST:
-            pool = self._narrowed(pool, service, group)
-        roomy, full = [], []
+        if len(pool) > MAX_CANDIDATE_WORKERS:
+            pool = self._limit_pool(pool, service, group)
+        with_capacity, full = [], []
         for worker in pool:
             if choice.is_suitable(worker, step):
-                ids = roomy if worker.has_capacity(step) else full
+                ids = with_capacity if worker.has_capacity(step) else full
                 ids.append(worker.target_id)
-        return roomy + full
+        return with_capacity + full
 
-    def _narrowed(self, pool, service, group):
-        """Of a large pool the permitted workers, and the freest to be asked about."""
+    def _limit_pool(self, pool, service, group):
+        """The part of a large pool to consider for a query.
+
+        These are the permitted workers, and of those without an answer the ones with
+        the most free capacity.
+        """
         known = self._leader.permissions
         names = known.not_yet_queried(group, [worker.target_id for worker in pool])
-        wanted = [*known.ever_permitted_ids(group), *names[:CONSIDERED_MOST]]
+        wanted = [*known.ever_permitted_ids(group), *names[:MAX_CANDIDATE_WORKERS]]
         return self._leader.pools.usable_among(service, wanted)
 
-    def _left_ms(self, job, group, now_ms):
-        """About how long the earlier steps of a group take; None if some wait."""
-        left_ms = 0
+    def _remaining_ms(self, job, group, now_ms):
+        """Estimated time until the earlier steps end; None if some of them wait."""
+        remaining_ms = 0
         for earlier in job.record.steps[group.step].after:
             step = job.record.steps[earlier]
             for index, task in enumerate(job.groups[(group.occurrence, earlier)]):
@@ -174,15 +186,17 @@
                     key = cell_state.TaskKey(
                         group.job_id, group.occurrence, earlier, index
                     )
-                    left_ms = max(left_ms, self._run_left_ms(task, key, step, now_ms))
-        return left_ms
+                    remaining_ms = max(
+                        remaining_ms, self._run_remaining_ms(task, key, step, now_ms)
+                    )
+        return remaining_ms
 
-    def _run_left_ms(self, task, key, step, now_ms):
+    def _run_remaining_ms(self, task, key, step, now_ms):
         worker = self._leader.workers.get(task.target_id)
         run = worker.runs.get(key) if worker else None
         if run is None:
             return step.estimated_ms
-        left_ms = health.remaining_ms(run, now_ms)
-        if left_ms is None:
-            left_ms = step.estimated_ms - (now_ms - run.placed_ms)
-        return max(0, left_ms)
+        remaining_ms = health.remaining_ms(run, now_ms)
+        if remaining_ms is None:
+            remaining_ms = step.estimated_ms - (now_ms - run.placed_ms)
+        return max(0, remaining_ms)
--- a/alderreach/ops/controller/placing.py
+++ b/alderreach/ops/controller/placing.py
@@ -1,13 +1,14 @@
 """The leader's planning pass: which tasks start now, and on which worker.
 
-A *group* is one step of one occurrence of a job. Groups with waiting tasks whose
-earlier steps are done stand in ``_queue`` in order of urgency; those whose earlier
-steps all run are upcoming, so that the permission service can be asked ahead.
-
-A pass is made only after something changed, and costs by what changed: a group is
-considered whole when something other than room changed for it, or its own time has
-come (a ticket that ages, patience, a report), and otherwise only against the workers
-that have gained room since the last pass.
+A *group* is one step of one occurrence of a job. ``_queue`` holds the groups with
+waiting tasks whose earlier steps are done, in order of urgency. Groups whose earlier
+steps are not done yet are upcoming: their permission queries can be sent in advance.
+
+A pass runs only after a change, and its cost is proportional to the change. A group is
+considered in full when something other than free capacity has changed for it, or when
+one of its timers has expired (ticket expiry, preemption patience, wait report).
+Otherwise it is considered only for the workers that have freed capacity since the last
+pass.
 """
 
 import heapq
@@ -17,36 +18,37 @@
 from alderreach.decisions.cell import choice, crash_blame, order
 from alderreach.ops.controller import permission_queries, preempting, runs, wait_reports
 
-# Both bound a pass, so that the quorum's heartbeats and the workers' leases are never
-# held up by a large job or a long queue; what is left is done by the next pass.
-STARTS_PER_PASS = 200
-PASS_MS = 25
-# A pass is made at least this often, for tickets that age and workers that recover.
-PASS_INTERVAL_MS = 20
+# Bounds of one pass, so that a large job or a long queue never delays the quorum's
+# heartbeats or the workers' leases. The next pass continues with the remaining groups.
+MAX_STARTS_PER_PASS = 200
+MAX_PASS_MS = 25
+# Passes run at least this often, for expiring tickets and recovering workers.
+MAX_PASS_INTERVAL_MS = 20
 
 
 class Planner:
-    """Waiting groups of one term of leadership."""
+    """Plans the waiting groups of one term of leadership."""
 
     def __init__(self, leader):
         self._leader = leader
-        # Since when each group waits, their order, and when each is considered whole.
+        # The time since which each group waits, the order of the groups, and the time
+        # at which each is considered in full.
         self._waiting = {}
         self._queue = order.UrgencyQueue()
         self._due_ms = {}
         self._ranks = {}
         self._ranked_config = None
         self._queries = permission_queries.PermissionQueries(leader)
-        self._preempting = preempting.Preempting(leader, self._rank)
+        self._preemptions = preempting.Preemptions(leader, self._rank)
         self._wait_reports = wait_reports.WaitReports(leader)
-        # Occurrences that wait for their time, by that time.
-        self._timed = []
+        # A heap of (due time, group) for occurrences that are due later.
+        self._scheduled = []
         self._next_pass_ms = 0
         for job in leader.state.jobs.values():
             self.job_added(job)
 
     def job_added(self, job):
-        """Queue what a job can start, now or at its times."""
+        """Queue the groups of a job that can start now or at their due times."""
         if job.state != cell_state.ACTIVE:
             return
         for occurrence, number in job.groups:
@@ -54,16 +56,16 @@
             if cell_state.is_open(job, occurrence, number):
                 self._open(job, group)
             else:
-                self._queries.opens_later(group)
+                self._queries.add_upcoming(group)
 
-    def changed(self, job_id, occurrence, number):
-        """A run of a group ended: it may wait again, or open the next steps."""
+    def on_run_ended(self, job_id, occurrence, number):
+        """Queue a group again after one of its runs ended, or open the next steps."""
         job = self._leader.state.jobs.get(job_id)
         if job is None or job.state != cell_state.ACTIVE:
             return
         if job.undone[(occurrence, number)]:
             group = cell_state.GroupKey(job_id, occurrence, number)
-            self._put_in_queue(job, group)
+            self._enqueue(job, group)
             self._leader.revisit(group)
             return
         for later, step in enumerate(job.record.steps):
@@ -71,70 +73,76 @@
                 self._open(job, cell_state.GroupKey(job_id, occurrence, later))
 
     def plan(self, now_ms):
-        """Make a pass if anything changed or it is time."""
+        """Run a planning pass if something has changed or a pass is due."""
         leader = self._leader
-        if not leader.is_stale and now_ms < self._next_pass_ms:
+        if not leader.needs_planning and now_ms < self._next_pass_ms:
             return
-        leader.is_stale = False
-        self._next_pass_ms = now_ms + PASS_INTERVAL_MS
-        self._release_timed()
-        self._queries.begin()
-        self._wait_reports.begin()
-        self._preempting.end_holds(self._waiting.__contains__, now_ms)
+        leader.needs_planning = False
+        self._next_pass_ms = now_ms + MAX_PASS_INTERVAL_MS
+        self._release_due()
+        self._queries.begin_pass()
+        self._wait_reports.begin_pass()
+        self._preemptions.release_holds(self._waiting.__contains__, now_ms)
         self._refresh_pools(now_ms)
-        self._rank_anew_if_configured()
+        self._rerank_if_config_changed()
         self._queue.refresh(leader.cell_ms())
-        self._go_through(now_ms)
-        self._queries.ahead(now_ms)
+        self._consider_groups(now_ms)
+        self._queries.prefetch(now_ms)
 
     def _refresh_pools(self, now_ms):
-        """Have groups considered whose permitted workers are others than before."""
+        """Update the pools; check groups whose permitted workers have changed."""
         leader = self._leader
-        appeared, gone = leader.pools.refresh(now_ms)
-        if not appeared and not gone:
+        appeared, disappeared = leader.pools.refresh(now_ms)
+        if not appeared and not disappeared:
             return
-        for group in leader.permissions.on_workers_changed(appeared, gone):
+        for group in leader.permissions.on_workers_changed(appeared, disappeared):
             if group in self._due_ms:
                 due_ms = self._queries.next_ms(group, now_ms)
                 self._due_ms[group] = min(self._due_ms[group], due_ms)
 
-    def _go_through(self, now_ms):
-        """Consider the groups that something changed for, in order of urgency."""
+    def _consider_groups(self, now_ms):
+        """Consider the groups affected by changes, in order of urgency."""
         leader = self._leader
-        for group in leader.revisited:
+        for group in leader.groups_to_revisit:
             if group in self._due_ms:
                 self._due_ms[group] = now_ms
-        leader.revisited.clear()
-        gained = leader.pools.pop_freed()
-        if not gained and now_ms < min(self._due_ms.values(), default=math.inf):
+        leader.groups_to_revisit.clear()
+        freed = leader.pools.pop_freed()
+        if not freed and now_ms < min(self._due_ms.values(), default=math.inf):
             return
         started = visits = 0
         for group in self._queue.groups():
-            if started >= STARTS_PER_PASS or leader.now_ms() - now_ms >= PASS_MS:
-                for worker in gained:
+            if (
+                started >= MAX_STARTS_PER_PASS
+                or leader.now_ms() - now_ms >= MAX_PASS_MS
+            ):
+                for worker in freed:
                     leader.pools.mark_freed(worker.target_id)
-                leader.is_stale = True
+                leader.needs_planning = True
                 break
             if leader.is_over(group):
                 self._drop(group)
             elif now_ms >= self._due_ms[group]:
-                started += self._consider_whole(group, now_ms)
+                started += self._consider_in_full(group, now_ms)
                 visits += 1
-            elif gained:
-                started += self._consider_gained(group, gained, now_ms)
+            elif freed:
+                started += self._consider_freed(group, freed, now_ms)
         metrics = leader.environment.metrics
         metrics.observe_ms("planning_pass", leader.now_ms() - now_ms)
         metrics.count("planning_visits", amount=visits)
         metrics.count("planning_starts", amount=started)
 
     def tidy(self):
-        """Forget what is kept of jobs that have ended."""
+        """Drop the records of jobs that have ended."""
         self._leader.drop_ended(self._ranks)
-        self._preempting.tidy()
+        self._preemptions.tidy()
         self._wait_reports.tidy(self._waiting.values(), self._leader.now_ms())
 
     def pending(self, queue_name):
-        """How many accepted jobs of a queue have started nothing, times left out."""
+        """The number of accepted jobs of a queue of which nothing has started.
+
+        Jobs with repeated occurrences don't count.
+        """
         return sum(
             job.state == cell_state.ACTIVE
             and not job.has_started
@@ -144,20 +152,20 @@
         )
 
     def _open(self, job, group):
-        """A group may start now, or at its time; one that waits already goes on."""
+        """Queue a group now or at its due time, unless it is already waiting."""
         if group in self._waiting:
             return
-        self._queries.drop(group)
+        self._queries.remove_upcoming(group)
         due_ms = _due_ms(job, group)
         if job.record.repeat_count and due_ms > self._latest_due_ms():
-            heapq.heappush(self._timed, (due_ms, group))
+            heapq.heappush(self._scheduled, (due_ms, group))
         else:
-            self._wait(job, group)
+            self._add_waiting(job, group)
 
-    def _wait(self, job, group):
-        """A group waits from now on; told in the log beside what starts of it."""
-        self._put_in_queue(job, group)
-        self._leader.is_stale = True
+    def _add_waiting(self, job, group):
+        """Queue a group and log that its step has opened."""
+        self._enqueue(job, group)
+        self._leader.needs_planning = True
         step = job.record.steps[group.step]
         self._leader.environment.record(
             "step_opened",
@@ -166,32 +174,33 @@
             is_gang=step.gang,
         )
 
-    def _put_in_queue(self, job, group):
+    def _enqueue(self, job, group):
         if group not in self._waiting:
             self._waiting[group] = self._leader.now_ms()
             self._due_ms[group] = 0
             self._queue.add(group, self._rank(job, group), self._leader.cell_ms())
 
     def _latest_due_ms(self):
-        """Occurrences due up to this moment may start.
+        """The latest due time of occurrences that may start now.
 
-        Cell time may be a little ahead of the submitter's; the slack is the workers'.
-        Starting on time rather than early leaves all of it for clocks that differ.
-        Nothing is due while the cell's time is not known.
+        Cell time may be slightly ahead of the submitter's clock, and workers tolerate
+        a small difference. Starting on time rather than early leaves all of this
+        tolerance for clock differences. Nothing is due while the cell's time is not
+        known.
         """
         if not self._leader.environment.is_time_known():
             return 0
         return self._leader.cell_ms()
 
-    def _release_timed(self):
-        while self._timed and self._timed[0][0] <= self._latest_due_ms():
-            group = heapq.heappop(self._timed)[1]
+    def _release_due(self):
+        while self._scheduled and self._scheduled[0][0] <= self._latest_due_ms():
+            group = heapq.heappop(self._scheduled)[1]
             job = self._leader.state.jobs.get(group.job_id)
             if job is not None:
-                self._wait(job, group)
+                self._add_waiting(job, group)
 
-    def _rank_anew_if_configured(self):
-        """Put all groups in the order of a new configuration."""
+    def _rerank_if_config_changed(self):
+        """Reorder all waiting groups after a change of the configuration."""
         leader = self._leader
         if self._ranked_config is leader.state.config:
             return
@@ -211,23 +220,24 @@
         return rank
 
     def _drop(self, group):
-        self._not_waiting(group)
-        self._queries.drop(group)
+        self._remove_waiting(group)
+        self._queries.remove_upcoming(group)
         self._leader.permissions.forget(group)
 
-    def _not_waiting(self, group):
+    def _remove_waiting(self, group):
         if self._waiting.pop(group, None) is None:
             return
         self._queue.remove(group)
         self._due_ms.pop(group, None)
         self._ranks.pop(group, None)
-        self._wait_reports.started(group)
+        self._wait_reports.on_all_started(group)
         self._leader.permissions.clear_shortage(group)
 
-    def _consider_whole(self, group, now_ms):
-        """Start what can be started of a group; returns how many tasks.
+    def _consider_in_full(self, group, now_ms):
+        """Start as many tasks of a group as possible; returns their number.
 
-        For what is left, ask for permission, make room and report, as each is due.
+        For the remaining tasks, query for permission, preempt other runs and report the
+        wait, as each is due.
         """
         leader = self._leader
         job = leader.state.jobs[group.job_id]
@@ -238,25 +248,28 @@
             return started
         since_ms = self._waiting[group]
         if rule is not None:
-            self._queries.for_waiting(job, group, rule, left, bool(pool), now_ms)
-        self._preempting.consider(job, group, pool, left, since_ms, now_ms)
+            self._queries.query_for_waiting(job, group, rule, left, bool(pool), now_ms)
+        self._preemptions.consider(job, group, pool, left, since_ms, now_ms)
         self._wait_reports.consider(job, group, pool, since_ms, now_ms)
         self._due_ms[group] = min(
             self._queries.next_ms(group, now_ms) if rule is not None else math.inf,
-            self._preempting.next_ms(job, group, since_ms),
+            self._preemptions.next_ms(job, group, since_ms),
             self._wait_reports.next_ms(group, since_ms),
         )
         return started
 
-    def _consider_gained(self, group, gained, now_ms):
-        """Start what fits of a group on workers that have gained room."""
+    def _consider_freed(self, group, freed, now_ms):
+        """Start the tasks of a group that fit on workers with freed capacity.
+
+        Returns the number of started tasks.
+        """
         leader = self._leader
         job = leader.state.jobs[group.job_id]
         step = job.record.steps[group.step]
         rule = leader.queue_of(job).permission
         pool = [
             worker
-            for worker in gained
+            for worker in freed
             if worker.record.service == job.record.service
             and worker.has_capacity(step)
             and (rule is None or self._has_ticket(group, worker, now_ms))
@@ -273,7 +286,7 @@
         return permissions.ticket(group, worker.target_id, now_ms) is not None
 
     def _pool(self, job, group, rule, now_ms):
-        """Usable workers on which a group may start."""
+        """The usable workers on which a group may start."""
         pools, service = self._leader.pools, job.record.service
         if rule is None:
             pool = pools.usable(service)
@@ -283,8 +296,8 @@
         return [worker for worker in pool if self._may_use(group, worker)]
 
     def _may_use(self, group, worker):
-        """Whether a worker is not held for a group that goes before this one."""
-        holder = self._preempting.hold_of(worker.target_id)
+        """Whether a worker is not held for a more urgent group."""
+        holder = self._preemptions.hold_of(worker.target_id)
         return (
             holder is None
             or holder == group
@@ -292,17 +305,20 @@
         )
 
     def _place(self, job, group, pool, now_ms):
-        """Start what fits on some workers; returns how many started and are left."""
+        """Start the tasks that fit on the workers of a pool.
+
+        Returns the numbers of started and of remaining tasks.
+        """
         step = job.record.steps[group.step]
         tasks = job.groups[group[1:]]
         waiting = [
             n
             for n, task in enumerate(tasks)
             if task.state == cell_state.WAITING
-            and not self._leader.has_too_much_doubt(task)
+            and not self._leader.has_too_many_in_doubt(task)
         ]
         if not waiting:
-            self._not_waiting(group)
+            self._remove_waiting(group)
             return 0, 0
         if step.gang:
             started = self._place_gang(group, step, tasks, pool, now_ms)
@@ -310,11 +326,11 @@
             started = self._place_tasks(group, step, tasks, waiting, pool, now_ms)
         left = len(waiting) - started
         if not left:
-            self._not_waiting(group)
+            self._remove_waiting(group)
         return started, left
 
     def _place_tasks(self, group, step, tasks, waiting, pool, now_ms):
-        """Start as many of the waiting tasks as find a worker."""
+        """Start waiting tasks until one finds no worker; returns their number."""
         usable = choice.candidates(pool, step, group, now_ms)
         if not usable:
             return 0
@@ -323,18 +339,18 @@
         ranking = choice.Ranking(usable, step, group, domains)
         for started, index in enumerate(waiting):
             key, task = cell_state.TaskKey(*group, index), tasks[index]
-            starts_apart = self._leader.starts_apart(task)
-            worker = _choose(ranking, key, task, starts_apart, now_ms)
+            must_start_apart = self._leader.must_start_apart(task)
+            worker = _choose(ranking, key, task, must_start_apart, now_ms)
             if worker is None:
                 return started
             self._start(worker, group, step, index, task.run + 1, now_ms)
-            if starts_apart:
+            if must_start_apart:
                 worker.hold_back(now_ms + crash_blame.SUSPECT_ISOLATION_MS)
             ranking.requeue(worker, now_ms)
         return len(waiting)
 
     def _domains_of(self, tasks):
-        """The failure domains in which some of a step's tasks are under way."""
+        """The failure domains in which some of the tasks are placed."""
         known = self._leader.workers
         placed = [
             known.get(task.target_id)
@@ -344,7 +360,7 @@
         return {worker.record.failure_domain for worker in placed if worker}
 
     def _place_gang(self, group, step, tasks, pool, now_ms):
-        """Start all tasks of a gang in one run, or none."""
+        """Start all tasks of a gang in one run, or none; returns their number."""
         if any(task.state != cell_state.WAITING for task in tasks):
             return 0
         chosen = choice.plan_gang(pool, step, group, len(tasks), now_ms)
@@ -373,10 +389,13 @@
         )
 
 
-def _choose(ranking, key, task, starts_apart, now_ms):
-    """The best worker for a task, or None; one that starts apart avoids fresh runs."""
+def _choose(ranking, key, task, must_start_apart, now_ms):
+    """The best worker for a task, or None.
+
+    A task that must start apart avoids workers with recently started runs.
+    """
     failed_on = task.target_id if task.failed_run else ""
-    if not starts_apart:
+    if not must_start_apart:
         return ranking.pop_best(key, failed_on)
     return ranking.pop_best(
         key, failed_on, lambda w: crash_blame.has_fresh_run(w, now_ms)
@@ -384,7 +403,7 @@
 
 
 def _due_ms(job, group):
-    """When a group's occurrence is due: at once unless the job has times."""
+    """When a group's occurrence is due: on acceptance unless the job repeats."""
     record = job.record
     if not record.repeat_count:
         return job.accepted_ms
--- a/alderreach/ops/controller/preempting.py
+++ b/alderreach/ops/controller/preempting.py
@@ -1,7 +1,7 @@
-"""Stops that make room for urgent steps; see ``decisions/cell/preemption.py``.
+"""Preemption of runs for urgent steps; see ``decisions/cell/preemption.py``.
 
-A worker on which runs were stopped is held for the step that asked until the stops are
-over, since the runs that gave way would otherwise take the first room back.
+A worker on which runs were stopped is held for the urgent step until the stops are
+complete. Otherwise the preempted tasks would take the freed capacity back.
 """
 
 import math
@@ -13,14 +13,14 @@
 
 
 class Hold(typing.NamedTuple):
-    """For which group a worker is held, and until when."""
+    """The group for which a worker is held, and the end of the hold."""
 
     group: cell_state.GroupKey
     until_ms: int
 
 
-class Preempting:
-    """What was stopped in one term, and for whom.
+class Preemptions:
+    """The preempted runs and the held workers of one term of leadership.
 
     ``rank_of(job, group)`` returns the ``order.Rank`` of a group.
     """
@@ -28,7 +28,7 @@
     def __init__(self, leader, rank_of):
         self._leader = leader
         self._rank_of = rank_of
-        self._yielded = {}
+        self._preemption_counts = {}
         self._next_ms = {}
         self._holds = {}
 
@@ -40,24 +40,24 @@
         hold = self._holds.get(target_id)
         return hold.group if hold else None
 
-    def end_holds(self, is_waiting, now_ms):
-        """End holds that are over; their workers have room for others from now on."""
+    def release_holds(self, is_waiting, now_ms):
+        """Release holds that are over, and offer the workers to other groups."""
         for target_id, hold in list(self._holds.items()):
             if now_ms >= hold.until_ms or not is_waiting(hold.group):
                 del self._holds[target_id]
                 self._leader.pools.mark_freed(target_id)
 
     def next_ms(self, job, group, since_ms):
-        """When room may be made for a group that waits since a moment."""
+        """When runs may next be preempted for a group that waits since ``since_ms``."""
         if self._leader.queue_of(job).priority >= self._leader.least_urgent():
             return math.inf
         return max(since_ms + preemption.PATIENCE_MS, self._next_ms.get(group, 0))
 
     def consider(self, job, group, pool, wanted, since_ms, now_ms):
-        """Make room for ``wanted`` tasks of a group on workers of its ``pool``.
+        """Preempt runs on workers of ``pool`` for ``wanted`` tasks of a group.
 
-        Nothing happens before the group has waited for ``preemption.PATIENCE_MS``, nor
-        while the stops made for it before may still be under way.
+        Nothing happens before the group has waited for ``preemption.PATIENCE_MS``, or
+        while earlier stops for the group may still be in progress.
         """
         if now_ms < self.next_ms(job, group, since_ms):
             return
@@ -75,14 +75,14 @@
                 self._stop(victims.worker, run, group)
 
     def tidy(self):
-        """Forget what is kept of jobs that have ended."""
-        self._leader.drop_ended(self._yielded)
+        """Drop the records of jobs that have ended."""
+        self._leader.drop_ended(self._preemption_counts)
         self._leader.drop_ended(self._next_ms)
 
     def _may_yield(self, run, priority):
         if not run.may_yield or run.state != workers.RUNNING:
             return False
-        if self._yielded.get(run.key, 0) >= preemption.MAX_YIELDS:
+        if self._preemption_counts.get(run.key, 0) >= preemption.MAX_YIELDS:
             return False
         job = self._leader.state.jobs.get(run.key.job_id)
         if job is None or self._leader.queue_of(job).priority <= priority:
@@ -92,7 +92,7 @@
         return spare_ms >= preemption.YIELD_COST_MS
 
     def _stop(self, worker, run, group):
-        self._yielded[run.key] = self._yielded.get(run.key, 0) + 1
+        self._preemption_counts[run.key] = self._preemption_counts.get(run.key, 0) + 1
         self._leader.environment.record(
             "run_preempted",
             task=str(run.key),
--- a/alderreach/ops/controller/service.py
+++ b/alderreach/ops/controller/service.py
@@ -1,4 +1,4 @@
-"""The controller daemon: a keeper of the cell's log with the director on its task."""
+"""The controller daemon: a keeper of the cell's log that runs the director."""
 
 import typing
 
@@ -13,13 +13,13 @@
 from alderreach.utils import event_loop
 
 
-class Outside(typing.NamedTuple):
-    """How the world around the cell is spoken to; given by the thin main.
+class ExternalServices(typing.NamedTuple):
+    """Access to the services outside the cell, provided by the main script.
 
     ``calls`` is a ``target_link.Calls``. ``ask_permission(step, targets)`` returns a
-    list of ``cell.Ticket``, or None if the service gave no answer. ``serve_control``
-    opens the listener of workers and operators, given the context and the
-    ``leader_calls.LeaderCalls`` of this process.
+    list of ``cell.Ticket``, or None if the service gave no answer.
+    ``serve_control(context, leader_calls)`` opens the listener for workers and
+    operators.
     """
 
     calls: typing.Any
@@ -28,21 +28,21 @@
 
 
 def build(context, outside):
-    """Open the data folder, join or found the cell, and serve; see ``ops.daemon``."""
+    """Open the data folder, join or found the cell, and start; see ``ops.daemon``."""
     found = context.settings.discovery
     own = context.settings.listen.peers
     seeds = discovery.peer_addresses(found.seeds, found.peer_port)
     others = {address: address for address in seeds if address != own}
-    asking = permission_calls.PermissionCalls(
+    permission_thread = permission_calls.PermissionCalls(
         outside.ask_permission, context.transport.send
     ).start()
-    context.stack.callback(asking.close)
+    context.stack.callback(permission_thread.close)
     worker_calls = event_loop.EventLoop("worker calls")
     context.stack.callback(worker_calls.close)
     connections = worker_connections.WorkerConnections(
         context.settings.limits.worker_connections
     )
-    made = []
+    directors = []
 
     def open_link(record, epoch, put):
         return target_link.TargetLink(
@@ -50,12 +50,16 @@
         )
 
     def extend(port):
-        made.append(
+        directors.append(
             director.Director(
-                context, port, open_link, asking.put, context.timeline.record
+                context,
+                port,
+                open_link,
+                permission_thread.enqueue,
+                context.timeline.record,
             )
         )
-        return made[0]
+        return directors[0]
 
     controller = keeper_service.Keeper(
         context,
@@ -65,5 +69,5 @@
         open_cell=others,
         may_found=found.found == "yes" and own in seeds,
     ).start()
-    outside.serve_control(context, made[0].leader_calls)
+    outside.serve_control(context, directors[0].leader_calls)
     return controller
--- a/alderreach/ops/controller/wait_reports.py
+++ b/alderreach/ops/controller/wait_reports.py
@@ -1,8 +1,8 @@
-"""Log lines and metrics for steps that could run and wait for long.
+"""Log lines and metrics for steps that are ready to run but wait for a long time.
 
-A step is reported once it has waited for ``FIRST_MS`` and again each time its wait has
-doubled, a few steps at a time, so that a cell full of waiting steps writes a bounded
-number of lines and spends little on them.
+A step is reported once it has waited for ``FIRST_REPORT_MS`` and again each time its
+wait has doubled. Each planning pass reports only a few steps, so that a cell full of
+waiting steps writes a bounded number of lines and spends little time on them.
 """
 
 import collections
@@ -10,38 +10,41 @@
 from alderreach.core import cell_state
 from alderreach.decisions.cell import choice, waiting
 
-# Most steps start within a second on a calm day; an objective is seldom shorter.
-FIRST_MS = 2000
-# A report looks at all workers, so a pass makes only a few.
-REPORTS_PER_PASS = 4
-# A report names this many of the queues whose runs hold the room.
-HOLDERS_NAMED = 3
+# Most steps start within a second under normal load, and few objectives are shorter.
+FIRST_REPORT_MS = 2000
+# A report examines all workers, so each pass makes only a few.
+MAX_REPORTS_PER_PASS = 4
+# The number of queues that a report names as holders of the capacity.
+MAX_HOLDERS = 3
 
 
 class WaitReports:
-    """What was reported in one term; ``begin`` comes first in each planning pass."""
+    """The reports of one leadership term.
+
+    ``begin_pass`` has to be called first in each planning pass.
+    """
 
     def __init__(self, leader):
         self._leader = leader
         self._due_ms = {}
-        self._left = 0
+        self._reports_left = 0
 
-    def begin(self):
-        """A pass begins, which may report a few steps."""
-        self._left = REPORTS_PER_PASS
+    def begin_pass(self):
+        """Begin a planning pass with its allowance of reports."""
+        self._reports_left = MAX_REPORTS_PER_PASS
 
     def consider(self, job, group, pool, since_ms, now_ms):
-        """Report a step that waits since ``since_ms`` if its report is due.
+        """Report a step that has waited since ``since_ms`` if its report is due.
 
-        ``pool`` are the workers that it may use, by their permission and health.
+        ``pool`` are the usable workers that the permission service lets it use.
         """
-        if now_ms < self.next_ms(group, since_ms) or not self._left:
+        if now_ms < self.next_ms(group, since_ms) or not self._reports_left:
             return
-        self._left -= 1
+        self._reports_left -= 1
         waited_ms = now_ms - since_ms
         self._due_ms[group] = now_ms + waited_ms
-        standing = self._standing(job, group, pool, now_ms)
-        cause = waiting.cause(standing)
+        wait_state = self._wait_state(job, group, pool, now_ms)
+        cause = waiting.cause(wait_state)
         self._leader.environment.metrics.count("long_waits", cause)
         self._leader.environment.record(
             "step_waits",
@@ -49,21 +52,21 @@
             cause=cause,
             waited_ms=waited_ms,
             held_by=self._holders(pool),
-            **standing._asdict(),
+            **wait_state._asdict(),
         )
 
     def next_ms(self, group, since_ms):
-        """When the next report on a group that waits is due."""
-        return self._due_ms.get(group, since_ms + FIRST_MS)
+        """When the next report on a waiting group is due."""
+        return self._due_ms.get(group, since_ms + FIRST_REPORT_MS)
 
-    def started(self, group):
-        """Nothing of a group waits any more."""
+    def on_all_started(self, group):
+        """Reset the reports of a group that has no waiting tasks left."""
         self._due_ms.pop(group, None)
 
     def tidy(self, since_ms, now_ms):
-        """Show how many steps wait and for how long; forget those that have ended.
+        """Update the gauges of waiting steps, and drop the records of ended jobs.
 
-        ``since_ms`` are the moments since when the waiting steps wait.
+        ``since_ms`` are the times at which the waiting steps began to wait.
         """
         self._leader.drop_ended(self._due_ms)
         metrics = self._leader.environment.metrics
@@ -71,9 +74,9 @@
         metrics.gauge("longest_wait_ms", now_ms - min(since_ms, default=now_ms))
 
     def _holders(self, pool):
-        """The queues with most runs on some workers, as [queue, runs, urgency].
+        """The queues with most runs on a pool, as [queue, runs, priority].
 
-        A less urgent queue among them shows that preemption found nothing to stop.
+        If a less urgent queue is among them, preemption found no runs to stop.
         """
         counts = collections.Counter()
         for worker in pool:
@@ -84,10 +87,10 @@
                     counts[(queue.name, queue.priority)] += 1
         return [
             [name, runs, priority]
-            for (name, priority), runs in counts.most_common(HOLDERS_NAMED)
+            for (name, priority), runs in counts.most_common(MAX_HOLDERS)
         ]
 
-    def _standing(self, job, group, pool, now_ms):
+    def _wait_state(self, job, group, pool, now_ms):
         leader = self._leader
         step = job.record.steps[group.step]
         tasks = job.groups[group[1:]]
--- a/alderreach/ops/controller/worker_connections.py
+++ b/alderreach/ops/controller/worker_connections.py
@@ -1,8 +1,8 @@
-"""A bound on the connections to workers that are open at once.
+"""A bound on the number of open connections to workers.
 
 A process may open a limited number of files, fewer than two for each of thousands of
-workers. Sessions that nobody uses are kept for the next call as long as there is room;
-beyond that the one that was idle for longest is closed.
+workers. Idle sessions stay open for their next call until the bound is reached; then
+the one that has been idle for the longest time is closed.
 """
 
 import asyncio
@@ -16,42 +16,42 @@
     fit for another call.
     """
 
-    def __init__(self, most):
-        self._most = most
-        self._used = 0
-        # Sessions with a connection that nobody uses, the longest idle first.
+    def __init__(self, limit):
+        self._limit = limit
+        self._in_use = 0
+        # Idle sessions with an open connection, the longest idle first.
         self._idle = collections.OrderedDict()
-        self._turns = collections.deque()
+        self._waiters = collections.deque()
 
     async def acquire(self, session, may_wait):
-        """Take a session for a call, if it may wait once there is a connection for it.
+        """Reserve a connection for a call; with ``may_wait``, wait until one is free.
 
-        Calls that may not wait go over the bound rather than come late.
+        Calls that may not wait exceed the bound rather than being delayed.
         """
-        while may_wait and self._used >= self._most:
-            turn = asyncio.get_running_loop().create_future()
-            self._turns.append(turn)
-            await turn
+        while may_wait and self._in_use >= self._limit:
+            waiter = asyncio.get_running_loop().create_future()
+            self._waiters.append(waiter)
+            await waiter
         self._idle.pop(session, None)
-        self._used += 1
+        self._in_use += 1
         self._close_idle()
 
     def release(self, session):
-        """Give a session back after a call."""
-        self._used -= 1
+        """Release a session after a call."""
+        self._in_use -= 1
         self._idle[session] = None
         self._close_idle()
-        while self._turns and self._used < self._most:
-            turn = self._turns.popleft()
-            if not turn.done():
-                turn.set_result(None)
+        while self._waiters and self._in_use < self._limit:
+            waiter = self._waiters.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 break
 
     def forget(self, session):
-        """A session is closed for good."""
+        """Forget a session that will not be used again."""
         self._idle.pop(session, None)
 
     def _close_idle(self):
-        while self._idle and self._used + len(self._idle) > self._most:
+        while self._idle and self._in_use + len(self._idle) > self._limit:
             session, _ = self._idle.popitem(last=False)
             session.close()
--- a/alderreach/ops/controller/worker_polls.py
+++ b/alderreach/ops/controller/worker_polls.py
@@ -1,7 +1,7 @@
-"""Polls of workers: their lists, the ends among them, and what the lists call for.
+"""Polls of workers, and the actions that follow from their lists of runs and ends.
 
-An end is acknowledged only once it is in the log: a worker may forget what it has been
-acknowledged, and a new leader would start the task again.
+An end is acknowledged only once it is committed, since a worker may forget an
+acknowledged end. A new leader that does not know the end would start the task again.
 """
 
 from alderreach.core import cell_state, orders
@@ -9,18 +9,19 @@
 from alderreach.decisions.cell import health, pacing, workers
 from alderreach.ops.controller import runs, worker_lifecycle
 
-# How long the answer to a poll may wait for an end: a quarter of the time in which
-# serving tasks may be disturbed by others; and three polls fit into a lease.
-POLL_WAIT_MS = 1000
+# A worker may hold its answer to a poll for this time until a run ends. It is a quarter
+# of the time for which serving tasks may be disturbed by others.
+MAX_POLL_WAIT_MS = 1000
+# The wait is shortened so that this many polls fit into a lease.
 POLLS_PER_LEASE = 3
-# A poll that failed is repeated after this, without extending the lease.
-POLL_AGAIN_MS = 300
-# Two reports of the tail lie between two changes of a share.
-PACE_INTERVAL_MS = 1100
+# Delay before a failed poll is repeated, without extending the lease.
+POLL_RETRY_MS = 300
+# Between two changes of a share there are two reports of the tail latency.
+MIN_PACE_INTERVAL_MS = 1100
 
 
-def poll(leader, worker, wait_ms=POLL_WAIT_MS):
-    """Poll a worker now, unless a poll is under way.
+def poll(leader, worker, wait_ms=MAX_POLL_WAIT_MS):
+    """Poll a worker now, unless a poll is in progress.
 
     The lease is extended only while the worker answers and its clock is known.
     """
@@ -48,26 +49,26 @@
     leader.links[worker.target_id].poll(worker.poll)
 
 
-def poll_answered(leader, mail):
-    """Take a worker's lists; an answer to another poll than the last is too old."""
-    worker = leader.workers.get(mail.target_id)
-    if worker is None or worker.poll_sent_ms is None or mail.poll is not worker.poll:
+def handle_poll_answer(leader, message):
+    """Handle the answer to a worker's latest poll; ignore answers to older polls."""
+    worker = leader.workers.get(message.target_id)
+    if worker is None or worker.poll_sent_ms is None or message.poll is not worker.poll:
         return
-    now_ms, result = leader.now_ms(), mail.result
+    now_ms, result = leader.now_ms(), message.result
     sent_ms, worker.poll_sent_ms = worker.poll_sent_ms, None
     if result.outcome == orders.OTHER_LIFE:
-        worker_lifecycle.life_over(leader, worker)
+        worker_lifecycle.end_incarnation(leader, worker)
     elif result.outcome != orders.OK:
         _poll_failed(leader, worker, result, now_ms)
     elif result.born_ms and result.born_ms < worker.record.born_ms:
-        runs.poll_later(leader, worker, 0)
+        runs.schedule_poll(leader, worker, 0)
     else:
-        _take_lists(leader, worker, result, sent_ms, now_ms)
+        _apply_lists(leader, worker, result, sent_ms, now_ms)
 
 
-def _take_lists(leader, worker, result, sent_ms, now_ms):
+def _apply_lists(leader, worker, result, sent_ms, now_ms):
     if result.born_ms > worker.record.born_ms:
-        worker_lifecycle.new_life(leader, worker)
+        worker_lifecycle.begin_new_incarnation(leader, worker)
         worker.record = worker.record._replace(born_ms=result.born_ms)
         leader.decide(targets=[worker.record])
     worker_lifecycle.clear_vanished(leader, worker)
@@ -76,34 +77,34 @@
     worker.record_call_outcome(orders.OK, now_ms)
     if not worker.has_seen_epoch:
         worker.has_seen_epoch = True
-        leader.is_stale = True
-    has_ends = _take_ends(leader, worker, result.ended)
+        leader.needs_planning = True
+    has_ends = _apply_ends(leader, worker, result.ended)
     if worker.awaits_list:
-        worker_lifecycle.take_first_list(leader, worker, result, sent_ms)
-    _take_running(leader, worker, result.running, sent_ms)
-    _pace(leader, worker, now_ms)
-    _move_on(leader, worker, now_ms)
+        worker_lifecycle.apply_first_list(leader, worker, result, sent_ms)
+    _apply_running(leader, worker, result.running, sent_ms)
+    _adjust_pace(leader, worker, now_ms)
+    _move_from_bad_worker(leader, worker, now_ms)
     if has_ends:
         cursor = max(end.number for end in result.ended)
-        life = worker.incarnation
+        incarnation = worker.incarnation
         worker.is_recording_ends = True
-        leader.after_commit(lambda: _forget_ends(leader, worker, cursor, life))
+        leader.after_commit(lambda: _forget_ends(leader, worker, cursor, incarnation))
     else:
-        runs.poll_later(leader, worker, 0)
+        runs.schedule_poll(leader, worker, 0)
 
 
 def poll_if_due(leader, worker, now_ms):
-    """Make the next poll if the worker needs one and its gap is over.
+    """Poll a worker if it needs a poll and the gap since the last one is over.
 
-    A worker that missed an answer gets nothing new until the next one. If nothing runs
-    there, only a poll brings that answer: heartbeats show that the worker is alive, not
-    that it hears the leader.
+    A worker that did not answer gets no new runs until its next answer. If it has no
+    runs, only a poll can bring that answer: heartbeats show that the worker is running,
+    but not that the leader can reach it.
     """
     is_needed = worker.runs or worker.has_ends_to_acknowledge
     wanted = is_needed or worker.failures or not worker.has_seen_epoch
     due_ms = worker.poll_due_ms
     if worker.failures:
-        due_ms = worker.polled_ms + POLL_AGAIN_MS
+        due_ms = worker.polled_ms + POLL_RETRY_MS
     if wanted and now_ms >= due_ms:
         poll(leader, worker)
 
@@ -116,34 +117,34 @@
             "worker_unresponsive", target=worker.target_id, outcome=result.outcome
         )
     if worker.is_leaving and result.outcome in orders.NOT_CONNECTED:
-        # It said that it ends, and no connection to it is made any more.
-        worker_lifecycle.life_over(leader, worker)
+        # It has announced its end and accepts no connections.
+        worker_lifecycle.end_incarnation(leader, worker)
 
 
-def _forget_ends(leader, worker, cursor, life):
-    """The ends up to ``cursor`` are durable here, so the worker may forget them."""
+def _forget_ends(leader, worker, cursor, incarnation):
+    """Let the worker forget its ends up to ``cursor``, which are committed now."""
     worker.is_recording_ends = False
     if leader.workers.get(worker.target_id) is not worker:
         return
-    if worker.incarnation == life:
+    if worker.incarnation == incarnation:
         worker.cursor = max(worker.cursor, cursor)
         worker.has_ends_to_acknowledge = True
-    runs.poll_later(leader, worker)
+    runs.schedule_poll(leader, worker)
 
 
-def _take_ends(leader, worker, ended):
-    """Record the ends that concern runs of ours; True if any was listed."""
+def _apply_ends(leader, worker, ended):
+    """Record the ends of known runs; returns whether any end was listed."""
     for end in sorted(ended):
         run = runs.run_of(worker, end.task)
         if run is not None and run.run == end.run:
             runs.end_run(leader, worker, run, end.how, end.checkpoint)
         elif end.how == "done":
-            _take_late_success(leader, worker, end)
+            _apply_late_success(leader, worker, end)
     return bool(ended)
 
 
-def _take_late_success(leader, worker, end):
-    """A run given up for lost is listed as done, and its success counts still."""
+def _apply_late_success(leader, worker, end):
+    """Count the success of a run that was given up as lost but is listed as done."""
     key = runs.key_of(end.task)
     task = cell_state.task_of(leader.state, key) if key else None
     if task is None:
@@ -169,18 +170,18 @@
     )
 
 
-def _take_running(leader, worker, running, sent_ms):
-    """Compare what a worker runs with what it should run."""
+def _apply_running(leader, worker, running, sent_ms):
+    """Compare the runs that a worker lists with those that it should have."""
     now_ms = leader.now_ms()
     listed = {entry.task: entry for entry in running}
     for run in list(worker.runs.values()):
         entry = listed.pop(str(run.key), None)
         if entry is not None and entry.run == run.run:
-            _note_progress(leader, worker, run, entry, now_ms)
+            _update_progress(leader, worker, run, entry, now_ms)
         elif entry is not None:
             listed[entry.task] = entry
         elif sent_ms > run.answered_ms:
-            _note_missing(leader, worker, run)
+            _handle_missing(leader, worker, run)
     for entry in listed.values():
         order = orders.Stop(entry.task, entry.run, leader.epoch)
         leader.links[worker.target_id].order(order)
@@ -192,7 +193,7 @@
         )
 
 
-def _note_progress(leader, worker, run, entry, now_ms):
+def _update_progress(leader, worker, run, entry, now_ms):
     run.is_confirmed = True
     worker.previous_ends.pop((run.key, run.run), None)
     if run.state == workers.ORDERED:
@@ -213,19 +214,19 @@
         runs.close_run(leader, worker, run)
 
 
-def _note_missing(leader, worker, run):
-    """A run that a fresh poll does not list; only a confirmed stop makes it final."""
+def _handle_missing(leader, worker, run):
+    """Handle a run that is missing in the list; it ends only after a confirmed stop."""
     if run.state == workers.ORDERED and run.sends == 0:
         return
     if run.state == workers.CLOSED:
-        how = worker.previous_ends.get((run.key, run.run), "stopped")
-        runs.end_run(leader, worker, run, how, run.checkpoint)
+        end_kind = worker.previous_ends.get((run.key, run.run), "stopped")
+        runs.end_run(leader, worker, run, end_kind, run.checkpoint)
     elif run.state == workers.RUNNING or run.order is None:
         runs.close_run(leader, worker, run)
 
 
-def _pace(leader, worker, now_ms):
-    if now_ms - worker.paced_ms < PACE_INTERVAL_MS:
+def _adjust_pace(leader, worker, now_ms):
+    if now_ms - worker.paced_ms < MIN_PACE_INTERVAL_MS:
         return
     for run, share in pacing.share_changes(list(worker.runs.values())):
         worker.paced_ms = now_ms
@@ -233,14 +234,14 @@
         leader.links[worker.target_id].order(order)
 
 
-def _move_on(leader, worker, now_ms):
-    """Stop what stands still here, and all that pays if the worker is slow."""
+def _move_from_bad_worker(leader, worker, now_ms):
+    """Move stalled runs away and, if the worker is slow, all for which that pays."""
     ratios = {}
     for run in list(worker.runs.values()):
         if run.state != workers.RUNNING or run.is_long:
             continue
         if health.is_stalled(run, now_ms):
-            _move(leader, worker, run, "stalled", now_ms)
+            _move_run(leader, worker, run, "stalled", now_ms)
             continue
         ratio = health.slowness(run, leader.durations.get(run.key[:3], ()))
         if ratio is not None:
@@ -249,10 +250,10 @@
         return
     for run, ratio in ratios.items():
         if health.is_worth_moving(run, ratio, leader.durations[run.key[:3]]):
-            _move(leader, worker, run, "slow", now_ms)
+            _move_run(leader, worker, run, "slow", now_ms)
 
 
-def _move(leader, worker, run, reason, now_ms):
+def _move_run(leader, worker, run, reason, now_ms):
     moves = leader.moves.get(run.key, 0)
     if moves >= health.MAX_MOVES:
         return
