--- a/alderreach/core/cell_state.py
+++ b/alderreach/core/cell_state.py
@@ -13,7 +13,7 @@
 >>> job = cell.CellJob("5c0e", queue, "pool", "true", [step], 0, 0, 0)
 >>> accept = empty_change()._replace(accepted=[cell.JobAccepted(job, 1_000)])
 >>> apply(state, accept, wall_ms=1_000)
->>> state.jobs["5c0e"].state, state.jobs["5c0e"].unfinished
+>>> state.jobs["5c0e"].state, state.jobs["5c0e"].unfinished_count
 ('active', 2)
 """
 
@@ -98,8 +98,8 @@
         "has_started",
         "record",
         "state",
-        "undone",
-        "unfinished",
+        "unfinished_by_group",
+        "unfinished_count",
     )
 
     def __init__(self, record, accepted_ms):
@@ -113,8 +113,10 @@
             for occurrence in range(max(1, record.repeat_count))
             for number, step in enumerate(record.steps)
         }
-        self.undone = {key: len(tasks) for key, tasks in self.groups.items()}
-        self.unfinished = sum(self.undone.values())
+        self.unfinished_by_group = {
+            key: len(tasks) for key, tasks in self.groups.items()
+        }
+        self.unfinished_count = sum(self.unfinished_by_group.values())
 
 
 class CellState:
@@ -167,7 +169,7 @@
         apply(state, change, batch.wall_ms)
 
 
-def task_of(state, key):
+def find_task(state, key):
     """The task a key names, or None."""
     job = state.jobs.get(key.job_id)
     if job is None:
@@ -191,13 +193,13 @@
     return task.state == WAITING and task.run == run
 
 
-def is_open(job, occurrence, number):
+def are_dependencies_done(job, occurrence, number):
     """Whether all steps that a step waits for are done."""
     after = job.record.steps[number].after
-    return all(job.undone[(occurrence, earlier)] == 0 for earlier in after)
+    return all(job.unfinished_by_group[(occurrence, earlier)] == 0 for earlier in after)
 
 
-def shown_state(job):
+def public_state(job):
     """The state callers are shown: queued and running are told apart by a first run."""
     if job.state != ACTIVE:
         return job.state
@@ -206,7 +208,7 @@
 
 def _place(state, placed):
     key = TaskKey(placed.job_id, placed.occurrence, placed.step, placed.index)
-    task = task_of(state, key)
+    task = find_task(state, key)
     if task is None or task.state == DONE or placed.run <= task.run:
         return
     task.state = PLACED
@@ -220,7 +222,7 @@
 
 def _end(state, ended, wall_ms):
     key = TaskKey(ended.job_id, ended.occurrence, ended.step, ended.index)
-    task = task_of(state, key)
+    task = find_task(state, key)
     if task is None:
         return
     job = state.jobs[ended.job_id]
@@ -237,9 +239,9 @@
     task.checkpoint = ended.checkpoint or task.checkpoint
     if ended.how == "done" and not step.long_running:
         task.state = DONE
-        job.undone[(ended.occurrence, ended.step)] -= 1
-        job.unfinished -= 1
-        if job.unfinished == 0 and job.state == ACTIVE:
+        job.unfinished_by_group[(ended.occurrence, ended.step)] -= 1
+        job.unfinished_count -= 1
+        if job.unfinished_count == 0 and job.state == ACTIVE:
             _finish(state, job, COMPLETED, wall_ms)
         return
     task.state = WAITING
@@ -258,7 +260,7 @@
     task.failed_run = ended.run
 
 
-def failures_of(job, occurrence, step, index):
+def failure_count(job, occurrence, step, index):
     """How many runs of a task, or of the gang it belongs to, have failed."""
     tasks = job.groups[(occurrence, step)]
     if job.record.steps[step].gang:
@@ -385,6 +387,6 @@
         for task, part in zip(tasks, stored, strict=True):
             for name, value in zip(TaskImage._fields, part, strict=True):
                 setattr(task, name, value)
-        job.undone[key] = sum(task.state != DONE for task in tasks)
-    job.unfinished = sum(job.undone.values())
+        job.unfinished_by_group[key] = sum(task.state != DONE for task in tasks)
+    job.unfinished_count = sum(job.unfinished_by_group.values())
     return job
--- a/alderreach/core/founding.py
+++ b/alderreach/core/founding.py
@@ -34,18 +34,18 @@
 FRESH_MS = 2000
 
 
-class Heard(typing.NamedTuple):
+class HelloAnswer(typing.NamedTuple):
     """A hello's answer and when it came."""
 
     reply: keeper.KeeperHelloReply
     at_ms: int
 
 
-def members_to_found(me, peers, heard, now_ms):
+def founding_members(me, peers, heard, now_ms):
     """The membership to found the cell with, or None while that is not allowed.
 
     ``me`` is this keeper as a Member, ``peers`` maps the names of all other keepers to
-    addresses, and ``heard`` maps names to ``Heard``.
+    addresses, and ``heard`` maps names to ``HelloAnswer``.
     """
     if any(name < me.name for name in peers):
         return None
--- a/alderreach/core/idempotency.py
+++ b/alderreach/core/idempotency.py
@@ -51,7 +51,7 @@
     return hashlib.sha256(text).hexdigest()
 
 
-def judge(record, request_id, entry, entry_boot_id):
+def decide(record, request_id, entry, entry_boot_id):
     """What a request may do given a ``keeper.KeyRecord``.
 
     A claim by an earlier boot of this very process can't end any more: its holder is
--- a/alderreach/core/keeper_state.py
+++ b/alderreach/core/keeper_state.py
@@ -281,7 +281,7 @@
     keeper.RecordOutcome: _record_outcome,
     keeper.KeeperPolicy: _set_policy,
 }
-LOGGED = (
+LOGGED_COMMANDS = (
     keeper.WriteItems,
     keeper.GrantOwnership,
     keeper.RecordIntent,
--- a/alderreach/core/orders.py
+++ b/alderreach/core/orders.py
@@ -12,25 +12,25 @@
 OK = "ok"
 FENCED = "fenced"
 STALE_RUN = "stale_run"
-LEASE_OVER = "lease_over"
-NO_ROOM = "no_room"
+LEASE_EXPIRED = "lease_over"
+NO_CAPACITY = "no_room"
 NO_TICKET = "no_ticket"
 REFUSED = "refused"
-OTHER_LIFE = "other_life"
+OTHER_INCARNATION = "other_life"
 UNREACHABLE = "unreachable"
-NOT_LISTENING = "not_listening"
+CONNECTION_REFUSED = "not_listening"
 UNKNOWN = "unknown"
-NOT_CARRIED_OUT = (
-    LEASE_OVER,
-    NO_ROOM,
+NOT_EXECUTED = (
+    LEASE_EXPIRED,
+    NO_CAPACITY,
     NO_TICKET,
     REFUSED,
-    OTHER_LIFE,
+    OTHER_INCARNATION,
     UNREACHABLE,
-    NOT_LISTENING,
+    CONNECTION_REFUSED,
 )
 # No connection was made: within its time limit, or since the host refused it.
-NOT_CONNECTED = (UNREACHABLE, NOT_LISTENING)
+NOT_CONNECTED = (UNREACHABLE, CONNECTION_REFUSED)
 
 
 class Start(typing.NamedTuple):
@@ -103,7 +103,7 @@
     clock_ms: int | None = None
     """The worker's clock when it answered."""
     detail: str = ""
-    is_broken_off: bool = False
+    is_connection_lost: bool = False
     """The connection ended while the answer was awaited, as when a worker crashes."""
 
 
--- a/alderreach/core/owner_leases.py
+++ b/alderreach/core/owner_leases.py
@@ -22,14 +22,14 @@
     """What one leader remembers; begun anew with each election.
 
     ``renewed_ms`` maps a domain to when its owner's last renewal came, ``released`` to
-    the epoch that was handed back, ``granting`` to the log index of a grant under way.
+    the epoch that was handed back, ``pending_grants`` to the log index of a grant under way.
     """
 
     def __init__(self, elected_ms):
         self.elected_ms = elected_ms
         self.renewed_ms = {}
         self.released = {}
-        self.granting = {}
+        self.pending_grants = {}
 
 
 def may_renew(leases, owner, renewal):
@@ -43,17 +43,17 @@
         owner is not None
         and (owner.placer, owner.boot_id) == (renewal.placer, renewal.boot_id)
         and owner.epoch == renewal.epoch
-        and domain not in leases.granting
+        and domain not in leases.pending_grants
         and leases.released.get(domain) != renewal.epoch
     )
 
 
-def renew(leases, failure_domain, now_ms):
+def record_renewal(leases, failure_domain, now_ms):
     """Note that a renewal came, before it is confirmed."""
     leases.renewed_ms[failure_domain] = now_ms
 
 
-def release(leases, renewal):
+def record_release(leases, renewal):
     """Note that the owner stopped acting and handed its epoch back."""
     leases.released[renewal.failure_domain] = renewal.epoch
 
@@ -65,7 +65,7 @@
     nothing and names the owner.
     """
     domain = command.failure_domain
-    if domain in leases.granting:
+    if domain in leases.pending_grants:
         return False
     if owner is None or command.handover or owner.epoch != command.expected_epoch:
         return True
--- a/alderreach/core/ownership.py
+++ b/alderreach/core/ownership.py
@@ -64,7 +64,7 @@
         """Whether commands may leave and announcements be answered now."""
         return self.is_owner and now_ms < self.lease.until_ms
 
-    def standbys_alive(self, now_ms):
+    def active_standbys(self, now_ms):
         """The standbys whose promise runs."""
         promised = self._promised_until_ms
         return [name for name in self._standbys if now_ms < promised[name]]
@@ -88,7 +88,7 @@
             return True
         return False
 
-    def renewal(self, request_id, now_ms):
+    def next_renewal(self, request_id, now_ms):
         """Return the renewal to send now to the keepers, or None if not the owner."""
         if not self.is_owner:
             return None
@@ -100,7 +100,7 @@
             request_id, me.failure_domain, me.placer, me.boot_id, self.epoch, False
         )
 
-    def renewed(self, reply, now_ms):
+    def handle_renewal_reply(self, reply, now_ms):
         """Take an OwnershipRenewed; True if it shows that we are deposed."""
         sent_ms = self._renewals.get(reply.request_id)
         if self.observe(reply.owner):
@@ -111,7 +111,7 @@
             self._publish(now_ms)
         return False
 
-    def promised(self, standby, promise, now_ms):
+    def handle_promise(self, standby, promise, now_ms):
         """Take the StandbyPromise of ``standby``."""
         mine = self.is_owner and promise.epoch == self.epoch
         if not mine or standby not in self._promised_until_ms:
@@ -122,7 +122,7 @@
         self._promised_until_ms[standby] = max(before_ms, until_ms)
         self._publish(now_ms)
 
-    def beat_received(self, beat, record_sequence, now_ms):
+    def handle_beat(self, beat, record_sequence, now_ms):
         """Take an owner's beat; returns the promise to send, or None.
 
         A beat of an older epoch gets no promise: its sender is deposed already. A
@@ -146,7 +146,7 @@
             self._timing.owner_lease_ms,
         )
 
-    def grant_wanted(self, now_ms):
+    def next_grant_request(self, now_ms):
         """Return the GrantOwnership to send now, or None.
 
         With no owner ever (epoch 0) nothing is waited for: the grant succeeds only if
@@ -170,7 +170,7 @@
             self.epoch > 0 and self.released_epoch == self.epoch,
         )
 
-    def seek_pause_ms(self, now_ms, longest_ms):
+    def grant_delay_ms(self, now_ms, longest_ms):
         """Return how long a standby need not look, at most ``longest_ms``."""
         next_ms = max(self._bound_until_ms, self._next_grant_ms)
         return min(max(next_ms - now_ms, GRANT_PAUSE_MIN_MS), longest_ms)
@@ -183,7 +183,7 @@
         self._forget_leases()
         return was_owner
 
-    def release(self, request_id):
+    def release_message(self, request_id):
         """Return the message that ends our lease at the keepers after ``hand_over``."""
         me = self.me
         return keeper.RenewOwnership(
--- a/alderreach/core/placements.py
+++ b/alderreach/core/placements.py
@@ -2,7 +2,7 @@
 
 A placement is one attempt of a task on one worker. A ``run`` command whose answer never
 came may still arrive: a worker refuses it once ``lease_ms`` have passed since the
-worker sent the announcement the command names, so ``loose_until_ms`` (sending plus
+worker sent the announcement the command names, so ``may_start_until_ms`` (sending plus
 lease plus margin) is when no copy can start anything any more. Until then the attempt
 is not given up and its end is not acknowledged, since a worker that forgot an ended
 attempt would start it again.
@@ -25,7 +25,7 @@
         "boot_id",
         "end_command",
         "job_id",
-        "loose_until_ms",
+        "may_start_until_ms",
         "outcome",
         "record",
         "record_sequence",
@@ -49,7 +49,7 @@
         self.reported = False
         self.refused = False
         self.accepted_ms = None
-        self.loose_until_ms = 0
+        self.may_start_until_ms = 0
         self.end_command = ""
         self.outcome = ""
 
@@ -115,7 +115,7 @@
     return max(epoch * ATTEMPTS_PER_EPOCH, last) + 1
 
 
-def ended(record, outcome):
+def with_outcome(record, outcome):
     """Return the record of the same attempt once it has ended."""
     return record._replace(outcome=outcome)
 
--- a/alderreach/core/raft.py
+++ b/alderreach/core/raft.py
@@ -3,8 +3,8 @@
 The protocol is Raft's: one leader a term, elected by a majority of voters, whose log
 wins. Everything is a function of the node's state, a message and the time; nothing is
 sent or synced here. The driver does, in this order: ``step``/``tick``/``propose``, then
-``raft_leader.prepare``, sends ``node.early``, writes and syncs ``take_write``, calls
-``synced``, and only then sends ``node.outbox``. A vote or an acknowledgement therefore
+``raft_leader.prepare``, sends ``node.early``, writes and syncs ``pop_write``, calls
+``on_synced``, and only then sends ``node.outbox``. A vote or an acknowledgement therefore
 never leaves before what it promises is on disk.
 
 Failures these rules answer beyond the plain protocol:
@@ -22,7 +22,7 @@
 >>> import random
 >>> rules = raft_state.Rules(election_timeout_ms=1000, beat_ms=200)
 >>> node = raft_state.Node("a1", "keeper-1", rules, random.Random(1), sink=None)
->>> found(node, [keeper.Member("a1", "keeper-1", "", True, False)], 1, 1_000)
+>>> found_cell(node, [keeper.Member("a1", "keeper-1", "", True, False)], 1, 1_000)
 >>> tick(node, 2500)
 >>> node.role, node.term
 ('leader', 2)
@@ -39,7 +39,7 @@
 PROPOSALS_MAX = 20_000
 
 
-def found(node, members, term, wall_ms):
+def found_cell(node, members, term, wall_ms):
     """Write a fresh cell's first entry, its membership, in a term yet unheard of."""
     raft_election.adopt_term(node, term)
     node.voted_for = node.identity
@@ -106,7 +106,7 @@
     HANDLERS[type(message)](node, message, now_ms)
 
 
-def take_write(node):
+def pop_write(node):
     """What must be synced now, or None."""
     first = node.log.unsynced_from
     if first is None and not node.vote_changed:
@@ -119,7 +119,7 @@
     return raft_state.Write(node.term, node.voted_for, first, entries)
 
 
-def synced(node):
+def on_synced(node):
     """Note that all was written and synced; a leader counts its own copy."""
     node.synced_index = node.log.last_index
     if node.role == LEADER:
@@ -133,7 +133,7 @@
     if node.role == CANDIDATE:
         raft_election.become_follower(node, now_ms)
     node.leader, node.leader_name = message.leader, message.leader_name
-    node.heard_ms = now_ms
+    node.last_contact_ms = now_ms
     raft_election.set_election_due(node, now_ms)
     return True
 
--- a/alderreach/core/raft_election.py
+++ b/alderreach/core/raft_election.py
@@ -81,7 +81,9 @@
     if node.role == raft_state.LEADER:
         return True
     timeout_ms = node.rules.election_timeout_ms
-    return node.heard_ms is not None and now_ms - node.heard_ms < timeout_ms
+    return (
+        node.last_contact_ms is not None and now_ms - node.last_contact_ms < timeout_ms
+    )
 
 
 def handle_vote_request(node, message, now_ms):
--- a/alderreach/core/raft_leader.py
+++ b/alderreach/core/raft_leader.py
@@ -34,16 +34,16 @@
 
 def has_quorum(node, now_ms):
     """Whether a majority of voters answered within the election timeout."""
-    heard_ms = membership.quorum_value(
+    last_contact_ms = membership.quorum_value(
         node.members,
         lambda identity: (
             now_ms if identity == node.identity else _heard_ms(node, identity)
         ),
     )
-    return now_ms - heard_ms < node.rules.election_timeout_ms
+    return now_ms - last_contact_ms < node.rules.election_timeout_ms
 
 
-def confirm(node):
+def request_round(node):
     """Ask for a round; returns its number, to be compared with ``confirmed_round``.
 
     Once a majority has answered that round, no newer leader had been elected when it
@@ -83,7 +83,7 @@
             _send_append(node, identity, progress, now_ms, even_empty=True)
 
 
-def prepare(node, now_ms):
+def queue_appends(node, now_ms):
     """Put out what is new: entries, and a round if a read waits for one."""
     if node.role != raft_state.LEADER:
         return
@@ -100,7 +100,7 @@
     progress = node.progress.get(message.follower)
     if progress is None or message.term != node.term:
         return
-    progress.heard_ms = now_ms
+    progress.last_contact_ms = now_ms
     progress.round = max(progress.round, message.round)
     if message.accepted:
         _accepted(node, progress, message)
@@ -120,7 +120,7 @@
     progress = node.progress.get(message.follower)
     if progress is None or message.term != node.term:
         return
-    progress.heard_ms = now_ms
+    progress.last_contact_ms = now_ms
     snapshot = progress.snapshot
     if snapshot is None or message.index != snapshot.index:
         return
@@ -175,7 +175,7 @@
     return (
         progress is not None
         and progress.snapshot is None
-        and now_ms - progress.heard_ms < node.rules.election_timeout_ms
+        and now_ms - progress.last_contact_ms < node.rules.election_timeout_ms
         and progress.match_index + node.rules.batch_entries >= node.log.last_index
         and progress.match_index >= node.first_index_of_term
     )
@@ -229,7 +229,7 @@
         node.commit_index,
         node.round,
     )
-    node.early.append((identity, message))
+    node.presync_outbox.append((identity, message))
     progress.sent_ms = now_ms
     if progress.probing:
         progress.probe_sent = True
@@ -245,13 +245,15 @@
 
 
 def _send_chunk(node, identity, progress, now_ms):
-    node.early.append((identity, raft_snapshot.chunk(node, identity, progress)))
+    node.presync_outbox.append(
+        (identity, raft_snapshot.chunk(node, identity, progress))
+    )
     progress.sent_ms = now_ms
 
 
 def _heard_ms(node, identity):
     progress = node.progress.get(identity)
-    return progress.heard_ms if progress else node.elected_ms
+    return progress.last_contact_ms if progress else node.elected_ms
 
 
 def _round(node, identity):
--- a/alderreach/core/raft_snapshot.py
+++ b/alderreach/core/raft_snapshot.py
@@ -66,7 +66,7 @@
     later = [config for config in node.configs if config[0] > snapshot.index]
     node.configs = [(snapshot.index, snapshot.members), *later]
     node.commit_index = snapshot.index
-    node.installed = snapshot
+    node.installed_snapshot = snapshot
 
 
 def _reply(node, message, offset):
--- a/alderreach/core/raft_state.py
+++ b/alderreach/core/raft_state.py
@@ -1,7 +1,7 @@
 """The state of one keeper in the quorum protocol, and small questions about it.
 
 ``raft`` holds the rules. Nothing here reads a clock, draws lots or does input and
-output: the driver passes the time, sends ``early`` and ``outbox`` and writes to disk.
+output: the driver passes the time, sends ``presync_outbox`` and ``outbox`` and writes to disk.
 """
 
 import typing
@@ -56,7 +56,7 @@
         self.probing = True
         self.probe_sent = False
         self.round = 0
-        self.heard_ms = now_ms
+        self.last_contact_ms = now_ms
         self.sent_ms = now_ms
         self.snapshot = None
         self.offset = 0
@@ -106,7 +106,7 @@
         self.role = FOLLOWER
         self.leader = ""
         self.leader_name = ""
-        self.heard_ms = None
+        self.last_contact_ms = None
         self.election_due_ms = now_ms + first_wait_ms(rules, random)
         self.trial = False
         self.transfer = False
@@ -118,8 +118,8 @@
         self.round = 0
         self.round_wanted = False
         self.receiving = None
-        self.installed = None
-        self.early = []
+        self.installed_snapshot = None
+        self.presync_outbox = []
         self.outbox = []
 
     @property
@@ -178,7 +178,7 @@
     node.configs = [config for config in node.configs if config[0] < index]
 
 
-def kept_from(log, index, most, most_bytes):
+def compaction_index(log, index, most, most_bytes):
     """Where a log may start after a snapshot at ``index``.
 
     A tail before it is kept, so that a follower a little behind gets entries, not the
--- a/alderreach/core/records.py
+++ b/alderreach/core/records.py
@@ -11,7 +11,7 @@
 
 import typing
 
-SETTLED = "settled"
+DELETED = "settled"
 
 
 class Changes(typing.NamedTuple):
@@ -27,7 +27,7 @@
 def is_deletion(kind, record):
     """Whether the record only says that its key is no more."""
     if kind == "placement":
-        return record.outcome == SETTLED
+        return record.outcome == DELETED
     return record.gone if kind == "worker" else record.state == "dead"
 
 
@@ -50,7 +50,7 @@
         self._deletions += is_deletion(kind, record)
         return self.sequence
 
-    def since(self, acked):
+    def changes_since(self, acked):
         """Return the Changes a standby lacks that has all up to ``acked``."""
         from_record = acked if self._floor <= acked <= self.sequence else 0
         parts = {"placement": [], "worker": [], "runner": []}
@@ -124,10 +124,10 @@
         records[key] = record
 
 
-def copy_of(log, epoch):
+def copy_from_log(log, epoch):
     """Return a copy that holds all of ``log``, as an owner keeps when it steps down."""
     copy = RecordCopy()
-    changes = log.since(0)
+    changes = log.changes_since(0)
     copy.epoch, copy.sequence = epoch, changes.sequence
     for record in changes.placements:
         _store(copy.placements, record.task_id, record, "placement")
--- a/alderreach/core/target_views.py
+++ b/alderreach/core/target_views.py
@@ -54,7 +54,7 @@
     return Applied(DomainView(pushed.epoch, pushed.sequence, runners), False)
 
 
-def resume_from(view, has_gap):
+def watch_request(view, has_gap):
     """The ``WatchTargets`` to send for the copy at hand."""
     if has_gap:
         return placer.WatchTargets(0, 0)
--- a/alderreach/decisions/cell/workers.py
+++ b/alderreach/decisions/cell/workers.py
@@ -163,7 +163,7 @@
 
         Answers that prove nothing about its health leave that as it was.
         """
-        self.is_refusing = outcome == orders.NOT_LISTENING
+        self.is_refusing = outcome == orders.CONNECTION_REFUSED
         if outcome in (orders.UNKNOWN, *orders.NOT_CONNECTED):
             self.note_failure(now_ms)
         elif outcome == orders.OK:
--- a/alderreach/ops/controller/order_answers.py
+++ b/alderreach/ops/controller/order_answers.py
@@ -30,7 +30,7 @@
         worker.note_clock(result.clock_ms, now_ms)
         worker.heard_ms = now_ms
     worker.note_answer(result.outcome, now_ms)
-    if result.outcome == orders.OTHER_LIFE:
+    if result.outcome == orders.OTHER_INCARNATION:
         worker_lifecycle.life_over(leader, worker)
         return
     run = runs.run_of(worker, mail.order.task)
@@ -78,14 +78,16 @@
         group = cell_state.GroupKey(*run.key[:3])
         leader.permissions.refuse(group, worker.target_id)
         leader.revisit(group)
-    if result.outcome in (orders.NO_ROOM, orders.REFUSED, orders.NO_TICKET):
+    if result.outcome in (orders.NO_CAPACITY, orders.REFUSED, orders.NO_TICKET):
         worker.held_back_until_ms = now_ms + HOLD_BACK_MS
         leader.pools.worker_changed(worker.target_id)
-    if result.outcome in orders.NOT_CARRIED_OUT and run.sends == 1:
+    if result.outcome in orders.NOT_EXECUTED and run.sends == 1:
         runs.end_run(leader, worker, run, "refused")
     elif result.outcome == orders.UNKNOWN:
         is_at_start = now_ms - run.placed_ms < crash_blame.BROKEN_OFF_MS
-        run.is_broken_off = run.is_broken_off or (result.is_broken_off and is_at_start)
+        run.is_broken_off = run.is_broken_off or (
+            result.is_connection_lost and is_at_start
+        )
         worker.may_arrive_late(run, now_ms)
         run.next_send_ms = now_ms + RESEND_AFTER_MS
     elif result.outcome == orders.FENCED:
--- a/alderreach/ops/controller/placing.py
+++ b/alderreach/ops/controller/placing.py
@@ -51,7 +51,7 @@
             return
         for occurrence, number in job.groups:
             group = cell_state.GroupKey(job.record.job_id, occurrence, number)
-            if cell_state.is_open(job, occurrence, number):
+            if cell_state.are_dependencies_done(job, occurrence, number):
                 self._open(job, group)
             else:
                 self._queries.opens_later(group)
@@ -61,13 +61,15 @@
         job = self._leader.state.jobs.get(job_id)
         if job is None or job.state != cell_state.ACTIVE:
             return
-        if job.undone[(occurrence, number)]:
+        if job.unfinished_by_group[(occurrence, number)]:
             group = cell_state.GroupKey(job_id, occurrence, number)
             self._put_in_queue(job, group)
             self._leader.revisit(group)
             return
         for later, step in enumerate(job.record.steps):
-            if number in step.after and cell_state.is_open(job, occurrence, later):
+            if number in step.after and cell_state.are_dependencies_done(
+                job, occurrence, later
+            ):
                 self._open(job, cell_state.GroupKey(job_id, occurrence, later))
 
     def plan(self, now_ms):
@@ -360,7 +362,7 @@
         leader = self._leader
         key = cell_state.TaskKey(*group, index)
         if checkpoint is None:
-            checkpoint = cell_state.task_of(leader.state, key).checkpoint
+            checkpoint = cell_state.find_task(leader.state, key).checkpoint
         ticket = leader.permissions.ticket(group, worker.target_id, now_ms) or ""
         runs.place(leader, worker, key, run, step, ticket, checkpoint)
         leader.environment.record(
--- a/alderreach/ops/controller/requests.py
+++ b/alderreach/ops/controller/requests.py
@@ -157,7 +157,7 @@
     """What is committed; a job that is about to be counts as queued."""
     job = leading.committed().jobs.get(job_id)
     if job is not None:
-        return answer(STATE, cell_state.shown_state(job))
+        return answer(STATE, cell_state.public_state(job))
     if job_id in leading.leader.state.jobs:
         return answer(STATE, "queued")
     return answer(NO_JOB)
--- a/alderreach/ops/controller/runs.py
+++ b/alderreach/ops/controller/runs.py
@@ -102,7 +102,7 @@
 
 def stop_duplicate(leader, key, done_run):
     """Stop a newer run of a task of which an older one is done."""
-    task = cell_state.task_of(leader.state, key)
+    task = cell_state.find_task(leader.state, key)
     worker = leader.workers.get(task.target_id)
     run = worker.runs.get(key) if worker else None
     if run is not None and run.run > done_run:
@@ -156,11 +156,11 @@
 def _is_final(leader, job, key, how):
     """Whether a task is given up after an end like this."""
     if how == "failed" and not job.record.steps[key.step].long_running:
-        failed = cell_state.failures_of(job, *key[1:]) + 1
+        failed = cell_state.failure_count(job, *key[1:]) + 1
         return failed >= leader.queue_of(job).max_attempts
     if how not in crashes.BLAME:
         return False
-    blame = cell_state.task_of(leader.state, key).blame + crashes.BLAME[how]
+    blame = cell_state.find_task(leader.state, key).blame + crashes.BLAME[how]
     leader.environment.metrics.count("crashes_under_runs", how)
     if not crash_blame.is_too_much(blame):
         return False
--- a/alderreach/ops/controller/worker_lifecycle.py
+++ b/alderreach/ops/controller/worker_lifecycle.py
@@ -111,7 +111,7 @@
         job = leader.state.jobs.get(run.key.job_id)
         if job is None or job.record.steps[run.key.step].gang:
             continue
-        if leader.may_have_crashed_workers(cell_state.task_of(leader.state, run.key)):
+        if leader.may_have_crashed_workers(cell_state.find_task(leader.state, run.key)):
             continue
         run.abandoned = True
         ended = cell.RunEnded(
@@ -184,7 +184,7 @@
     """How the runs of a worker ended if its life has, by (key, number of the run)."""
 
     def is_known(key):
-        task = cell_state.task_of(leader.state, key)
+        task = cell_state.find_task(leader.state, key)
         return task is not None and leader.starts_apart(task)
 
     return crash_blame.ends_of(worker, leader.now_ms(), is_known)
--- a/alderreach/ops/controller/worker_polls.py
+++ b/alderreach/ops/controller/worker_polls.py
@@ -51,7 +51,7 @@
         return
     now_ms, result = leader.now_ms(), mail.result
     sent_ms, worker.poll_sent_ms = worker.poll_sent_ms, None
-    if result.outcome == orders.OTHER_LIFE:
+    if result.outcome == orders.OTHER_INCARNATION:
         worker_lifecycle.life_over(leader, worker)
     elif result.outcome != orders.OK:
         _poll_failed(leader, worker, result, now_ms)
@@ -106,7 +106,7 @@
 
 def _poll_failed(leader, worker, result, now_ms):
     worker.note_failure(now_ms)
-    worker.is_refusing = result.outcome == orders.NOT_LISTENING
+    worker.is_refusing = result.outcome == orders.CONNECTION_REFUSED
     if worker.failures == 1:
         leader.environment.record(
             "worker_unresponsive", target=worker.target_id, outcome=result.outcome
@@ -141,7 +141,7 @@
 def _take_late_success(leader, worker, end):
     """A run given up for lost is listed as done, and its success counts still."""
     key = runs.key_of(end.task)
-    task = cell_state.task_of(leader.state, key) if key else None
+    task = cell_state.find_task(leader.state, key) if key else None
     if task is None:
         return
     job = leader.state.jobs[key.job_id]
--- a/alderreach/ops/entry/dispatcher.py
+++ b/alderreach/ops/entry/dispatcher.py
@@ -229,7 +229,7 @@
 
     def _watch(self, domain):
         view = self._views.get(domain, target_views.EMPTY)
-        message = target_views.resume_from(view, domain in self._gaps)
+        message = target_views.watch_request(view, domain in self._gaps)
         for peer in self._placers:
             if peer.failure_domain == domain:
                 self._context.transport.send(peer.address, message)
--- a/alderreach/ops/entry/once.py
+++ b/alderreach/ops/entry/once.py
@@ -80,7 +80,7 @@
             self._wait_reports.release()
 
     def _must_wait(self, record, keyed):
-        verdict = idempotency.judge(
+        verdict = idempotency.decide(
             record, keyed.request_id, self._entry, self._boot_id
         )
         return verdict.step in (idempotency.Step.WAIT, idempotency.Step.CLAIM)
@@ -91,7 +91,7 @@
         while True:
             if isinstance(found, Err):
                 return found
-            verdict = idempotency.judge(
+            verdict = idempotency.decide(
                 found.ok_value, keyed.request_id, self._entry, self._boot_id
             )
             if verdict.step is idempotency.Step.SEND:
--- a/alderreach/ops/keeper/disk.py
+++ b/alderreach/ops/keeper/disk.py
@@ -59,8 +59,8 @@
         An installed snapshot may replace entries, so the log is then written anew.
         """
         try:
-            write = raft.take_write(node)
-            if node.installed is not None:
+            write = raft.pop_write(node)
+            if node.installed_snapshot is not None:
                 return self._install(node)
             if write is not None:
                 started_ns = time.perf_counter_ns()
@@ -90,9 +90,9 @@
             return
         node.snapshot = snapshot
         most = self._snapshot_entries // 2
-        kept = raft_state.kept_from(node.log, snapshot.index, most, KEPT_BYTES)
+        kept = raft_state.compaction_index(node.log, snapshot.index, most, KEPT_BYTES)
         raft_state.compact(node, kept)
-        raft.take_write(node)
+        raft.pop_write(node)
         try:
             self._rewrite(node)
         except OSError as error:
@@ -114,7 +114,7 @@
         self.sink.close()
 
     def _install(self, node):
-        node.installed = None
+        node.installed_snapshot = None
         self._rewrite(node)
         state = self.sink.loaded.state
         self._timeline.record("snapshot_installed", detail=f"index {state.index}")
--- a/alderreach/ops/keeper/joining.py
+++ b/alderreach/ops/keeper/joining.py
@@ -84,7 +84,7 @@
         """Note what another keeper is."""
         if message.to != self._node.identity:
             return
-        self._heard[message.name] = founding.Heard(message, now_ms)
+        self._heard[message.name] = founding.HelloAnswer(message, now_ms)
         if message.removed and not self.is_removed:
             self.is_removed = True
             self._timeline.record("identity_removed", detail=message.to)
@@ -95,19 +95,21 @@
         if not node.members:
             return True
         silence_ms = LOST_AFTER_ELECTIONS * node.rules.election_timeout_ms
-        heard_ms = self._started_ms if node.heard_ms is None else node.heard_ms
-        return now_ms - heard_ms > silence_ms
+        last_contact_ms = (
+            self._started_ms if node.last_contact_ms is None else node.last_contact_ms
+        )
+        return now_ms - last_contact_ms > silence_ms
 
     def _found(self, now_ms):
         node = self._node
         if node.members or not self._may_found:
             return False
         me = keeper.Member(node.identity, node.name, self._listen, True, False)
-        members = founding.members_to_found(me, self._addresses, self._heard, now_ms)
+        members = founding.founding_members(me, self._addresses, self._heard, now_ms)
         if members is None:
             return False
         term = founding.founding_term(node.term, self._heard)
-        raft.found(node, members, term, self._clock.wall_ms())
+        raft.found_cell(node, members, term, self._clock.wall_ms())
         self._timeline.record("cell_founded", epoch=term, detail=names(members))
         return True
 
@@ -148,7 +150,7 @@
         if identity == self._node.identity:
             return False
         progress = self._node.progress.get(identity)
-        return progress is None or now_ms - progress.heard_ms > SILENT_VOTER_MS
+        return progress is None or now_ms - progress.last_contact_ms > SILENT_VOTER_MS
 
     def _take_in(self, message):
         node = self._node
--- a/alderreach/ops/keeper/requests.py
+++ b/alderreach/ops/keeper/requests.py
@@ -77,9 +77,9 @@
 
     def applied(self, index, term, result):
         """Answer who waits for the entry at ``index``."""
-        for domain, granting in list(self._leases.granting.items()):
+        for domain, granting in list(self._leases.pending_grants.items()):
             if granting <= index:
-                del self._leases.granting[domain]
+                del self._leases.pending_grants[domain]
         asker = self._appended.pop(index, None)
         if asker is None:
             return
@@ -117,7 +117,7 @@
             self._change_members(asker, command)
         elif isinstance(command, keeper.GrantOwnership):
             self._grant(asker, command, message.command)
-        elif isinstance(command, keeper_state.LOGGED):
+        elif isinstance(command, keeper_state.LOGGED_COMMANDS):
             self._append(asker, message.command)
         else:
             self._reply(asker, "no_quorum")
@@ -157,7 +157,7 @@
             return
         index = self._append(asker, data)
         if index is not None:
-            self._leases.granting[domain] = index
+            self._leases.pending_grants[domain] = index
 
     def _change_members(self, asker, command):
         node = self._node
@@ -192,7 +192,9 @@
         """
         node = self._node
         index = max(node.commit_index, node.first_index_of_term)
-        self._reads.append(_Read(raft_leader.confirm(node), index, answer, refuse))
+        self._reads.append(
+            _Read(raft_leader.request_round(node), index, answer, refuse)
+        )
 
     def _renew(self, message, address):
         """Confirm an owner's lease by a round, and remember when it was asked for."""
@@ -219,10 +221,10 @@
             reply(False)
             return
         if message.release:
-            owner_leases.release(self._leases, message)
+            owner_leases.record_release(self._leases, message)
             reply(True)
             return
-        owner_leases.renew(
+        owner_leases.record_renewal(
             self._leases, message.failure_domain, self._clock.monotonic_ms()
         )
         lease_ms = self._durations.owner_lease_ms
--- a/alderreach/ops/keeper/service.py
+++ b/alderreach/ops/keeper/service.py
@@ -269,12 +269,12 @@
         self._lead_if_elected()
         if self._extension:
             self._extension.before_write(self._clock.monotonic_ms())
-        raft_leader.prepare(node, self._clock.monotonic_ms())
+        raft_leader.queue_appends(node, self._clock.monotonic_ms())
         if not node.vote_changed:
-            self._send_all(node.early)
+            self._send_all(node.presync_outbox)
         self._state = self._disk.write(node) or self._state
-        raft.synced(node)
-        self._send_all(node.early)
+        raft.on_synced(node)
+        self._send_all(node.presync_outbox)
         self._send_all(node.outbox)
         self._apply()
         self._requests.settle(self._state.index)
@@ -345,7 +345,7 @@
         if node.role == raft.LEADER:
             return node.is_ready_leader and raft_leader.has_quorum(node, now_ms)
         timeout_ms = node.rules.election_timeout_ms
-        return bool(node.leader) and now_ms - node.heard_ms < timeout_ms
+        return bool(node.leader) and now_ms - node.last_contact_ms < timeout_ms
 
     def _publish(self, now_ms):
         self._record_role()
--- a/alderreach/ops/placer/commands.py
+++ b/alderreach/ops/placer/commands.py
@@ -52,8 +52,8 @@
             if not self._placements.is_current(placement):
                 continue
             if placement.state == "starting" and placement.refused:
-                if now_ms < placement.loose_until_ms:
-                    self.push_due(placement, placement.loose_until_ms)
+                if now_ms < placement.may_start_until_ms:
+                    self.push_due(placement, placement.may_start_until_ms)
                 else:
                     refused.append(placement)
             elif placement.state in ("starting", "stopping"):
@@ -140,6 +140,6 @@
 
     def _unanswered(self, placement, command, status, now_ms):
         if status in ("uncertain", "answered") and command["command"] == "run":
-            placement.loose_until_ms = now_ms + self._lapse_ms
+            placement.may_start_until_ms = now_ms + self._lapse_ms
         soon = status in ("unsent", "late")
         self.push_due(placement, now_ms + (UNSENT_RETRY_MS if soon else RESEND_MS))
--- a/alderreach/ops/placer/items.py
+++ b/alderreach/ops/placer/items.py
@@ -165,7 +165,7 @@
         for target_id, noted_ms in list(self.words.items()):
             target = self._placing.members.targets.get(target_id)
             if target is not None:
-                heard = target.reported and target.heard_ms > noted_ms
+                heard = target.reported and target.last_contact_ms > noted_ms
                 if not heard and target.state not in ("suspect", "dead"):
                     continue
                 if not heard:
--- a/alderreach/ops/placer/ledger.py
+++ b/alderreach/ops/placer/ledger.py
@@ -38,7 +38,7 @@
     def note_end(self, record):
         """Record how an attempt ended; a finish until the keepers hold it too."""
         if record.outcome != "finished":
-            record = record._replace(outcome=records.SETTLED)
+            record = record._replace(outcome=records.DELETED)
         self.log.put("placement", record.task_id, record)
         self._mark_worker(record)
 
@@ -51,7 +51,7 @@
         """Record what entries are told of runners."""
         if self._runner_views == self._members.sequence:
             return
-        _, views = self._members.since(self._runner_views)
+        _, views = self._members.changes_since(self._runner_views)
         self._runner_views = self._members.sequence
         for view in views:
             self.log.put("runner", view.runner_id, view)
@@ -115,7 +115,7 @@
         for number in finished - state.durable:
             task_id = f"{state.job.job_id}/{number}"
             record = placer.PlacementRecord(
-                task_id, 0, state.job.job_id, "", "", records.SETTLED
+                task_id, 0, state.job.job_id, "", "", records.DELETED
             )
             self.log.put("placement", task_id, record)
         state.durable = finished
--- a/alderreach/ops/placer/ownership_term.py
+++ b/alderreach/ops/placer/ownership_term.py
@@ -139,7 +139,7 @@
         """Return what the next owner must know, as a RecordCopy."""
         if not self.begun:
             return self._copy
-        return records.copy_of(self.placing.ledger.log, self.epoch)
+        return records.copy_from_log(self.placing.ledger.log, self.epoch)
 
     # ---- messages
 
@@ -240,7 +240,7 @@
             return placer.OwnerBeat(
                 self._domain, self.epoch, now_ms, 1, 1, [], [], [], handover
             )
-        changes = self.placing.ledger.log.since(self._acked.get(standby, 0))
+        changes = self.placing.ledger.log.changes_since(self._acked.get(standby, 0))
         self._beat_sequence = changes.sequence
         return placer.OwnerBeat(
             self._domain,
--- a/alderreach/ops/placer/reports.py
+++ b/alderreach/ops/placer/reports.py
@@ -74,7 +74,7 @@
 
 def take_missing(placing, placement, now_ms):
     """A worker that knows this epoch does not list a task it is held to run."""
-    if now_ms < placement.loose_until_ms:
+    if now_ms < placement.may_start_until_ms:
         return
     if placement.state == "held":
         placing.end(placement, "stopped", now_ms)
@@ -109,4 +109,4 @@
         return
     placement.refused = True
     placing.note_task("task_refused", placement.record, answer.reason)
-    placing.commands.push_due(placement, max(now_ms, placement.loose_until_ms))
+    placing.commands.push_due(placement, max(now_ms, placement.may_start_until_ms))
--- a/alderreach/ops/placer/service.py
+++ b/alderreach/ops/placer/service.py
@@ -197,7 +197,7 @@
         elif isinstance(message, placer.OwnerBeat):
             self._beat_received(message, received.reply_address, now_ms)
         elif isinstance(message, placer.StandbyPromise):
-            state.promised(sender_name, message, now_ms)
+            state.handle_promise(sender_name, message, now_ms)
             if self._term is not None:
                 self._term.promised(sender_name, message)
                 self._term_tick(now_ms)
@@ -224,7 +224,7 @@
         self._context.transport.send(address, reply)
 
     def _renewed(self, reply, sender_name, now_ms):
-        self._ownership.renewed(reply, now_ms)
+        self._ownership.handle_renewal_reply(reply, now_ms)
         if reply.granted:
             self._leader, self._leader_heard_ms = sender_name, now_ms
         elif reply.leader:
@@ -234,7 +234,7 @@
         if beat.failure_domain != self._domain:
             return
         held = self._copy.apply(beat)
-        promise = self._ownership.beat_received(beat, held, now_ms)
+        promise = self._ownership.handle_beat(beat, held, now_ms)
         if promise is not None:
             self._beat_heard_ms = now_ms
             self._context.transport.send(address, promise)
@@ -301,12 +301,12 @@
             if self._term.has_work(quiet_ms):
                 return None
             return min(QUIET_TICK_MS, self._next_beat_ms - now_ms)
-        return self._ownership.seek_pause_ms(now_ms, QUIET_TICK_MS)
+        return self._ownership.grant_delay_ms(now_ms, QUIET_TICK_MS)
 
     def _term_tick(self, now_ms):
         if not self._acts(now_ms):
             return
-        standbys = self._ownership.standbys_alive(now_ms)
+        standbys = self._ownership.active_standbys(now_ms)
         for batch in self._term.tick(now_ms, standbys):
             self._sender.put(batch)
 
@@ -317,7 +317,7 @@
             return
         if self._grant_pending or not self._gateway.is_current:
             return
-        wanted = self._ownership.grant_wanted(now_ms)
+        wanted = self._ownership.next_grant_request(now_ms)
         if wanted is None:
             return
         self._grant_pending = True
@@ -337,7 +337,7 @@
 
     def _renew(self, now_ms):
         """Ask the leader, or all keepers while none has granted lately."""
-        renewal = self._ownership.renewal(uuid.uuid4().hex, now_ms)
+        renewal = self._ownership.next_renewal(uuid.uuid4().hex, now_ms)
         fresh = now_ms - self._leader_heard_ms <= 2 * self._timing.owner_beat_ms
         known = self._keepers.get(self._leader)
         addresses = [known] if known and fresh else self._keepers.values()
@@ -349,7 +349,7 @@
     def _hand_over(self, mail, now_ms):
         """Stop acting for good, then let the standby take over at once."""
         state = self._ownership
-        alone = state.is_owner and not state.standbys_alive(now_ms)
+        alone = state.is_owner and not state.active_standbys(now_ms)
         if alone:
             state.hand_over()
             self._release()
@@ -369,7 +369,7 @@
         self._context.timeline.record("ownership_handed_over", epoch=state.epoch)
 
     def _release(self):
-        release = self._ownership.release(uuid.uuid4().hex)
+        release = self._ownership.release_message(uuid.uuid4().hex)
         for address in self._keepers.values():
             self._context.transport.send(address, release)
 
--- a/alderreach/ops/placer/watchers.py
+++ b/alderreach/ops/placer/watchers.py
@@ -57,7 +57,7 @@
             self._tell(address, watcher)
 
     def _tell(self, address, watcher):
-        from_sequence, runners = self._members.since(watcher.sequence)
+        from_sequence, runners = self._members.changes_since(watcher.sequence)
         watcher.sequence = self._members.sequence
         self._send(
             address,
--- a/alderreach/platform/targets.py
+++ b/alderreach/platform/targets.py
@@ -59,7 +59,7 @@
     except (http_client.UnansweredError, wire.Malformed) as error:
         is_broken_off = isinstance(error, http_client.BrokenOffError)
         return orders.OrderResult(
-            orders.UNKNOWN, detail=str(error), is_broken_off=is_broken_off
+            orders.UNKNOWN, detail=str(error), is_connection_lost=is_broken_off
         )
 
 
@@ -78,7 +78,7 @@
 
 def _not_connected(error):
     is_refused = isinstance(error, http_client.RefusedError)
-    return orders.NOT_LISTENING if is_refused else orders.UNREACHABLE
+    return orders.CONNECTION_REFUSED if is_refused else orders.UNREACHABLE
 
 
 def calls():
--- a/alderreach/platform/wire.py
+++ b/alderreach/platform/wire.py
@@ -285,14 +285,14 @@
 REASONS = {
     "fence": orders.FENCED,
     "old": orders.STALE_RUN,
-    "late": orders.LEASE_OVER,
-    "room": orders.NO_ROOM,
+    "late": orders.LEASE_EXPIRED,
+    "room": orders.NO_CAPACITY,
     "ticket": orders.NO_TICKET,
 }
 STATUSES = {
     200: orders.OK,
     400: orders.REFUSED,
-    421: orders.OTHER_LIFE,
+    421: orders.OTHER_INCARNATION,
     429: orders.REFUSED,
     503: orders.REFUSED,
 }
--- a/tools/standins/cell_worker.py
+++ b/tools/standins/cell_worker.py
@@ -121,7 +121,7 @@
         if order.run <= self.closed.get(order.task, 0):
             return self._result(orders.STALE_RUN)
         if order.lease_until_ms <= self.clock_ms():
-            return self._result(orders.LEASE_OVER)
+            return self._result(orders.LEASE_EXPIRED)
         if not self.permits(order):
             return self._result(orders.NO_TICKET)
         self._extend(order.lease_until_ms)
--- a/tools/standins/platform_worker.py
+++ b/tools/standins/platform_worker.py
@@ -24,7 +24,7 @@
 REASONS = {
     orders.FENCED: "fence",
     orders.STALE_RUN: "old",
-    orders.LEASE_OVER: "late",
+    orders.LEASE_EXPIRED: "late",
     orders.NO_TICKET: "ticket",
 }
 
--- a/tools/virtual_days.py
+++ b/tools/virtual_days.py
@@ -113,9 +113,9 @@
             if job.state != cell_state.ACTIVE:
                 continue
             for occurrence, number in job.groups:
-                if cell_state.is_open(job, occurrence, number):
+                if cell_state.are_dependencies_done(job, occurrence, number):
                     group = cell_state.GroupKey(job.record.job_id, occurrence, number)
-                    if job.undone[(occurrence, number)]:
+                    if job.unfinished_by_group[(occurrence, number)]:
                         yield group, job.record.steps[number]
 
     def undone(self, group):
--- a/tools/virtual_workers.py
+++ b/tools/virtual_workers.py
@@ -91,7 +91,7 @@
     def carry_out(self, order):
         """Carry an order out; returns the ``orders.OrderResult``."""
         if self.is_gone:
-            return orders.OrderResult(orders.OTHER_LIFE)
+            return orders.OrderResult(orders.OTHER_INCARNATION)
         if order.epoch < self.epoch:
             return orders.OrderResult(orders.FENCED, self._clock_ms())
         self.epoch = order.epoch
@@ -141,7 +141,7 @@
         if order.run <= self.closed.get(order.task, 0):
             return orders.STALE_RUN
         if order.lease_until_ms <= self._clock_ms():
-            return orders.LEASE_OVER
+            return orders.LEASE_EXPIRED
         self._extend(order.lease_until_ms)
         left_ms, how = self.world.work_of(order)
         run = self.runs[key] = _Running(order, left_ms, how, self.world.loop.now_ms)
@@ -179,7 +179,7 @@
 
     def _lists(self):
         if self.is_gone:
-            return orders.PollResult(orders.OTHER_LIFE)
+            return orders.PollResult(orders.OTHER_INCARNATION)
         now_ms = self.world.loop.now_ms
         listed = [
             orders.ListedRun(
@@ -239,7 +239,7 @@
         """No answer arrives, which is known once the call has waited for it."""
         is_poll = kind is target_link.PollAnswered
         is_refused = self._machine.is_refusing
-        outcome = orders.NOT_LISTENING if is_refused else orders.UNKNOWN
+        outcome = orders.CONNECTION_REFUSED if is_refused else orders.UNKNOWN
         result = (orders.PollResult if is_poll else orders.OrderResult)(outcome)
         after_ms = 0 if is_refused else CALL_LIMIT_MS + wait_ms
         self._world.loop.after(after_ms, lambda: self._mail(kind, order, result))
