--- a/alderreach/core/cell_state.py
+++ b/alderreach/core/cell_state.py
@@ -35,7 +35,7 @@
 
 # How long an ended job can be asked for. A repeated submission of an older one would
 # run again, so this is far longer than any caller retries.
-KEPT_AFTER_END_MS = 600_000
+ENDED_JOB_RETENTION_MS = 600_000
 
 # The fields of a Step after ``after`` with their empty values, for examples and tests.
 NO_STEP_OPTIONS = (False, False, False, "", "", 0, False, False, "", 0, False, 0)
@@ -141,7 +141,7 @@
 
 def apply(state, change, wall_ms):
     """Apply one change; ``wall_ms`` is the time that the log gives it."""
-    _forget_old(state, wall_ms)
+    _drop_expired_jobs(state, wall_ms)
     for config in change.configs:
         if state.config is None or config.version > state.config.version:
             state.config = config
@@ -154,13 +154,13 @@
             job = Job(accepted.job, accepted.accepted_ms)
             state.jobs[accepted.job.job_id] = job
     for ended in change.ended:
-        _end(state, ended, wall_ms)
+        _apply_run_end(state, ended, wall_ms)
     for placed in change.placed:
-        _place(state, placed)
+        _apply_placement(state, placed)
     for job_id in change.cancelled:
         job = state.jobs.get(job_id)
         if job is not None and job.state == ACTIVE:
-            _finish(state, job, CANCELLED, wall_ms)
+            _end_job(state, job, CANCELLED, wall_ms)
 
 
 def apply_batch(state, batch):
@@ -178,7 +178,7 @@
     return tasks[key.index] if 0 <= key.index < len(tasks) else None
 
 
-def is_late_success(task, run, how, step=None):
+def is_late_success(task, run, end_kind, step=None):
     """Whether a run that was given up for lost turns out to be done after all.
 
     Nothing was started since, so its success counts; run again, the task would run a
@@ -186,7 +186,7 @@
     run twice any run's success counts: another was started while the worker was silent,
     and if that one came to nothing, the task would start after an acknowledged end.
     """
-    if how != "done":
+    if end_kind != "done":
         return False
     if step is not None and step.allow_duplicates and not step.long_running:
         return task.state != DONE and run <= task.run
@@ -206,7 +206,7 @@
     return "running" if job.has_started else "queued"
 
 
-def _place(state, placed):
+def _apply_placement(state, placed):
     key = TaskKey(placed.job_id, placed.occurrence, placed.step, placed.index)
     task = find_task(state, key)
     if task is None or task.state == DONE or placed.run <= task.run:
@@ -220,7 +220,7 @@
     state.jobs[placed.job_id].has_started = True
 
 
-def _end(state, ended, wall_ms):
+def _apply_run_end(state, ended, wall_ms):
     key = TaskKey(ended.job_id, ended.occurrence, ended.step, ended.index)
     task = find_task(state, key)
     if task is None:
@@ -228,11 +228,11 @@
     job = state.jobs[ended.job_id]
     step = job.record.steps[ended.step]
     is_newest = task.state == PLACED and task.run == ended.run
-    is_settled = crashes.is_in_doubt(task, ended.run) and ended.how in crashes.BLAME
-    crashes.note_end(task, ended.run, ended.how, is_newest)
-    if is_settled and not is_newest:
+    resolves_doubt = crashes.is_in_doubt(task, ended.run) and ended.how in crashes.BLAME
+    crashes.record_run_end(task, ended.run, ended.how, is_newest)
+    if resolves_doubt and not is_newest:
         if ended.is_final and task.state != DONE and job.state == ACTIVE:
-            _finish(state, job, FAILED, wall_ms)
+            _end_job(state, job, FAILED, wall_ms)
         return
     if not is_newest and not is_late_success(task, ended.run, ended.how, step):
         return
@@ -242,13 +242,13 @@
         job.unfinished_by_group[(ended.occurrence, ended.step)] -= 1
         job.unfinished_count -= 1
         if job.unfinished_count == 0 and job.state == ACTIVE:
-            _finish(state, job, COMPLETED, wall_ms)
+            _end_job(state, job, COMPLETED, wall_ms)
         return
     task.state = WAITING
     if ended.how == "failed":
         _count_failure(job, ended, task)
     if ended.is_final and job.state == ACTIVE:
-        _finish(state, job, FAILED, wall_ms)
+        _end_job(state, job, FAILED, wall_ms)
 
 
 def _count_failure(job, ended, task):
@@ -268,19 +268,19 @@
     return tasks[index].failures
 
 
-def _finish(state, job, how, wall_ms):
-    job.state = how
+def _end_job(state, job, end_state, wall_ms):
+    job.state = end_state
     job.ended_ms = wall_ms
     state.ended[job.record.job_id] = wall_ms
 
 
-def _forget_old(state, wall_ms):
+def _drop_expired_jobs(state, wall_ms):
     """Drop jobs that ended long ago, but never one of which something may still run."""
     oldest_ms = next(iter(state.ended.values()), wall_ms)
-    if wall_ms - oldest_ms < KEPT_AFTER_END_MS:
+    if wall_ms - oldest_ms < ENDED_JOB_RETENTION_MS:
         return
     for job_id, ended_ms in list(state.ended.items()):
-        if wall_ms - ended_ms < KEPT_AFTER_END_MS:
+        if wall_ms - ended_ms < ENDED_JOB_RETENTION_MS:
             return
         job = state.jobs[job_id]
         placed = any(
@@ -302,7 +302,7 @@
     failed_run: int
     checkpoint: str
     blame: int = 0
-    in_doubt: tuple[crashes.RunInDoubt, ...] = ()
+    in_doubt: tuple[crashes.InDoubtRun, ...] = ()
 
 
 class JobImage(typing.NamedTuple):
@@ -329,7 +329,7 @@
     image = StateImage(state.config, list(state.targets.values()), list(state.ended))
     yield "cell", msgspec.msgpack.encode(image)
     for job in state.jobs.values():
-        yield "cell_job", msgspec.msgpack.encode(_image(job))
+        yield "cell_job", msgspec.msgpack.encode(_job_image(job))
 
 
 def load_part(state, kind, data):
@@ -340,7 +340,7 @@
         state.targets = {record.target_id: record for record in image.targets}
         state.ended = dict.fromkeys(image.ended, 0)
     else:
-        job = _restored(msgspec.msgpack.decode(data, type=JobImage))
+        job = _restore_job(msgspec.msgpack.decode(data, type=JobImage))
         state.jobs[job.record.job_id] = job
         if job.record.job_id in state.ended:
             state.ended[job.record.job_id] = job.ended_ms
@@ -352,11 +352,13 @@
     other.config = state.config
     other.targets = dict(state.targets)
     other.ended = dict(state.ended)
-    other.jobs = {job_id: _restored(_image(job)) for job_id, job in state.jobs.items()}
+    other.jobs = {
+        job_id: _restore_job(_job_image(job)) for job_id, job in state.jobs.items()
+    }
     return other
 
 
-def _image(job):
+def _job_image(job):
     groups = [
         [
             TaskImage(
@@ -379,7 +381,7 @@
     )
 
 
-def _restored(image):
+def _restore_job(image):
     job = Job(image.record, image.accepted_ms)
     job.state, job.ended_ms = image.state, image.ended_ms
     job.has_started = image.has_started
--- a/alderreach/core/crashes.py
+++ b/alderreach/core/crashes.py
@@ -16,14 +16,14 @@
 CRASHED_AT_START = "worker_crashed_at_start"
 CRASHED_AT_LONE_START = "worker_crashed_at_lone_start"
 
-IN_DOUBT = (ABANDONED, EXPIRED)
+IN_DOUBT_END_KINDS = (ABANDONED, EXPIRED)
 # What each kind of crash adds to a task's blame. All controllers count alike, so these
 # are part of the agreed state's format.
 BLAME = {WORKER_CRASHED: 2, CRASHED_AT_START: 3, CRASHED_AT_LONE_START: 6}
-IN_DOUBT_KEPT = 4
+MAX_IN_DOUBT_RUNS = 4
 
 
-class RunInDoubt(typing.NamedTuple):
+class InDoubtRun(typing.NamedTuple):
     """A run that vanished, and the life of the worker that it was on."""
 
     run: int
@@ -36,26 +36,26 @@
     return any(each.run == run for each in task.in_doubt)
 
 
-def note_end(task, run, how, is_newest):
+def record_run_end(task, run, end_kind, is_newest):
     """Note in a task how a run ended; a crash counts once for each run.
 
     >>> import types
     >>> task = types.SimpleNamespace(
     ...     run=1, target_id="w1", born_ms=5, blame=0, in_doubt=()
     ... )
-    >>> note_end(task, 1, ABANDONED, True)
-    >>> note_end(task, 1, CRASHED_AT_START, False)
-    >>> note_end(task, 1, CRASHED_AT_START, False)
+    >>> record_run_end(task, 1, ABANDONED, True)
+    >>> record_run_end(task, 1, CRASHED_AT_START, False)
+    >>> record_run_end(task, 1, CRASHED_AT_START, False)
     >>> task.blame, task.in_doubt
     (3, ())
     """
     was_in_doubt = is_in_doubt(task, run)
-    if how in IN_DOUBT:
+    if end_kind in IN_DOUBT_END_KINDS:
         if is_newest and not was_in_doubt:
-            vanished = RunInDoubt(task.run, task.target_id, task.born_ms)
-            task.in_doubt = (*task.in_doubt, vanished)[-IN_DOUBT_KEPT:]
+            vanished = InDoubtRun(task.run, task.target_id, task.born_ms)
+            task.in_doubt = (*task.in_doubt, vanished)[-MAX_IN_DOUBT_RUNS:]
         return
     if was_in_doubt:
         task.in_doubt = tuple(each for each in task.in_doubt if each.run != run)
     if is_newest or was_in_doubt:
-        task.blame += BLAME.get(how, 0)
+        task.blame += BLAME.get(end_kind, 0)
--- a/alderreach/core/founding.py
+++ b/alderreach/core/founding.py
@@ -31,34 +31,38 @@
 
 from alderreach.core.generated import keeper
 
-FRESH_MS = 2000
+MAX_ANSWER_AGE_MS = 2000
 
 
 class HelloAnswer(typing.NamedTuple):
     """A hello's answer and when it came."""
 
     reply: keeper.KeeperHelloReply
-    at_ms: int
+    received_ms: int
 
 
-def founding_members(me, peers, heard, now_ms):
+def founding_members(me, peers, answers, now_ms):
     """The membership to found the cell with, or None while that is not allowed.
 
     ``me`` is this keeper as a Member, ``peers`` maps the names of all other keepers to
-    addresses, and ``heard`` maps names to ``HelloAnswer``.
+    addresses, and ``answers`` maps names to ``HelloAnswer``.
     """
     if any(name < me.name for name in peers):
         return None
     members = [me]
     for name, address in sorted(peers.items()):
-        answer = heard.get(name)
-        if answer is None or now_ms - answer.at_ms > FRESH_MS or answer.reply.formed:
+        answer = answers.get(name)
+        if (
+            answer is None
+            or now_ms - answer.received_ms > MAX_ANSWER_AGE_MS
+            or answer.reply.formed
+        ):
             return None
         identity = answer.reply.identity
         members.append(keeper.Member(identity, name, address, True, False))
     return members
 
 
-def founding_term(own_term, heard):
+def founding_term(own_term, answers):
     """A term above every one heard of."""
-    return max([own_term, *(answer.reply.term for answer in heard.values())]) + 1
+    return max([own_term, *(answer.reply.term for answer in answers.values())]) + 1
--- a/alderreach/core/idempotency.py
+++ b/alderreach/core/idempotency.py
@@ -33,7 +33,7 @@
     REFUSE = "refuse"
 
 
-class Verdict(typing.NamedTuple):
+class Decision(typing.NamedTuple):
     """The next step, and the kind of error for ``Step.REFUSE``."""
 
     step: Step
@@ -59,25 +59,25 @@
     slow, so it is waited for.
     """
     if record.state == CLAIMED and record.request_id == request_id:
-        return Verdict(Step.SEND)
+        return Decision(Step.SEND)
     if record.state == ABSENT:
-        return Verdict(Step.CLAIM)
+        return Decision(Step.CLAIM)
     if record.state == REUSED:
-        return Verdict(Step.REFUSE, errors.Kind.KEY_REUSED)
+        return Decision(Step.REFUSE, errors.Kind.KEY_REUSED)
     if record.state == EXPIRED:
-        return Verdict(Step.REFUSE, errors.Kind.KEY_EXPIRED)
+        return Decision(Step.REFUSE, errors.Kind.KEY_EXPIRED)
     if record.state == FINISHED:
-        return _judge_finished(record)
+        return _decide_finished(record)
     if record.entry == entry and record.entry_boot_id != entry_boot_id:
-        return Verdict(Step.REFUSE, errors.Kind.OUTCOME_UNKNOWN)
-    return Verdict(Step.WAIT)
+        return Decision(Step.REFUSE, errors.Kind.OUTCOME_UNKNOWN)
+    return Decision(Step.WAIT)
 
 
-def _judge_finished(record):
+def _decide_finished(record):
     if record.outcome == NOT_RUN:
-        return Verdict(Step.CLAIM)
+        return Decision(Step.CLAIM)
     if record.outcome != RAN:
-        return Verdict(Step.REFUSE, errors.Kind.OUTCOME_UNKNOWN)
+        return Decision(Step.REFUSE, errors.Kind.OUTCOME_UNKNOWN)
     if not record.body_kept:
-        return Verdict(Step.REFUSE, errors.Kind.ANSWER_NOT_KEPT)
-    return Verdict(Step.ANSWER)
+        return Decision(Step.REFUSE, errors.Kind.ANSWER_NOT_KEPT)
+    return Decision(Step.ANSWER)
--- a/alderreach/core/keeper_dump.py
+++ b/alderreach/core/keeper_dump.py
@@ -29,7 +29,7 @@
     "deleted": dict[str, int],
     "expiring": dict[str, int],
     "claims": dict[str, key_state.Claim],
-    "writes": dict[str, key_state.KeptWrite],
+    "writes": dict[str, key_state.StoredWrite],
     "expired": dict[bytes, int],
     "abandoned": dict[str, int],
 }
@@ -46,7 +46,7 @@
     other.floor_version = state.floor_version
     other.keys.lifetime_ms = state.keys.lifetime_ms
     for kind in KINDS:
-        _holder(other, kind).update(_holder(state, kind))
+        _section(other, kind).update(_section(state, kind))
     other.cell = cell_state.copy(state.cell)
     return other
 
@@ -62,7 +62,7 @@
     )
     yield msgspec.msgpack.encode(("counters", counters))
     for kind in KINDS:
-        entries = iter(_holder(state, kind).items())
+        entries = iter(_section(state, kind).items())
         while batch := dict(itertools.islice(entries, RECORD_ENTRIES)):
             yield msgspec.msgpack.encode((kind, batch))
     for kind, data in cell_state.dump(state.cell):
@@ -82,7 +82,7 @@
             state.keys.lifetime_ms = counters.lifetime_ms
         elif kind in KINDS:
             batch = msgspec.msgpack.decode(payload, type=KINDS[kind])
-            _holder(state, kind).update(batch)
+            _section(state, kind).update(batch)
         elif kind in CELL_KINDS:
             cell_state.load_part(state.cell, kind, payload)
         else:
@@ -91,5 +91,5 @@
     return state
 
 
-def _holder(state, kind):
+def _section(state, kind):
     return getattr(state if kind in ITEM_KINDS else state.keys, kind)
--- a/alderreach/core/keeper_state.py
+++ b/alderreach/core/keeper_state.py
@@ -76,11 +76,11 @@
     return handler(state, command) if handler else None
 
 
-def changes_after(state, version, prefixes, most):
+def changes_after(state, version, prefixes, max_items):
     """Items changed after ``version`` under any prefix, as (to_version, items).
 
     The result is complete up to ``to_version``; a version's items are never split, so
-    it may hold a few more than ``most``.
+    it may hold a few more than ``max_items``.
     """
     start = bisect.bisect_right(state.history, version, key=lambda entry: entry[0])
     prefixes = tuple(prefixes)
@@ -88,7 +88,7 @@
     reached = version
     for place in range(start, len(state.history)):
         changed_at, key = state.history[place]
-        if changed_at != reached and len(items) >= most:
+        if changed_at != reached and len(items) >= max_items:
             return reached, items
         reached = changed_at
         stored = state.items.get(key)
@@ -173,7 +173,7 @@
             return kept.result
     result = _decide_write(state, command)
     if command.idempotency_key:
-        key_state.keep_write(
+        key_state.store_write(
             state.keys, command.idempotency_key, digest, result, state.clock_ms
         )
     return result
--- a/alderreach/core/key_state.py
+++ b/alderreach/core/key_state.py
@@ -36,7 +36,7 @@
     body_kept: bool
 
 
-class KeptWrite(typing.NamedTuple):
+class StoredWrite(typing.NamedTuple):
     """The result of a WriteItems, for resends of it."""
 
     digest: bytes
@@ -85,9 +85,9 @@
         return record("expired")
     if command.request_id in keys.abandoned:
         return record("absent")
-    held = keys.claims.get(command.key)
-    if held is None:
-        keys.claims[command.key] = held = Claim(
+    current = keys.claims.get(command.key)
+    if current is None:
+        keys.claims[command.key] = current = Claim(
             command.digest,
             command.entry,
             command.entry_boot_id,
@@ -99,9 +99,9 @@
             b"",
             False,
         )
-    elif held.digest != command.digest:
-        return record("reused", held)
-    return record(_state_for(held, command.request_id), held)
+    elif current.digest != command.digest:
+        return record("reused", current)
+    return record(_state_for(current, command.request_id), current)
 
 
 def finish(keys, command, clock_ms):
@@ -113,31 +113,31 @@
     """
     if command.outcome == "not-run":
         keys.abandoned.setdefault(command.request_id, clock_ms)
-    held = keys.claims.get(command.key)
-    if held is None:
+    current = keys.claims.get(command.key)
+    if current is None:
         return read(keys, command.key)
-    if held.request_id != command.request_id:
-        return record(_state_for(held, command.request_id), held)
-    if command.outcome == "not-run" and held.outcome != "ran":
+    if current.request_id != command.request_id:
+        return record(_state_for(current, command.request_id), current)
+    if command.outcome == "not-run" and current.outcome != "ran":
         del keys.claims[command.key]
         return record("absent")
-    if held.outcome != "ran":
-        held = held._replace(
+    if current.outcome != "ran":
+        current = current._replace(
             outcome=command.outcome,
             status=command.status,
             content_type=command.content_type,
             body=command.body,
             body_kept=command.body_kept,
         )
-        keys.claims[command.key] = held
-    return record("finished", held)
+        keys.claims[command.key] = current
+    return record("finished", current)
 
 
 def read(keys, key):
     """What is known of a key."""
-    held = keys.claims.get(key)
-    if held is not None:
-        return record(_state_for(held, ""), held)
+    current = keys.claims.get(key)
+    if current is not None:
+        return record(_state_for(current, ""), current)
     return record("expired" if digest_of(key) in keys.expired else "absent")
 
 
@@ -146,32 +146,32 @@
     return keys.writes.get(idempotency_key)
 
 
-def keep_write(keys, idempotency_key, digest, result, clock_ms):
+def store_write(keys, idempotency_key, digest, result, clock_ms):
     """Keep a write's result for resends."""
-    keys.writes[idempotency_key] = KeptWrite(digest, result, clock_ms)
+    keys.writes[idempotency_key] = StoredWrite(digest, result, clock_ms)
 
 
-def record(state, held=None):
+def record(state, current=None):
     """A KeyRecord in this state, with what is known of the claim."""
-    if held is None:
+    if current is None:
         return keeper.KeyRecord(state, "", "", "", "", 0, "", b"", False)
     return keeper.KeyRecord(
         state,
-        held.request_id,
-        held.entry,
-        held.entry_boot_id,
-        held.outcome,
-        held.status,
-        held.content_type,
-        held.body,
-        held.body_kept,
+        current.request_id,
+        current.entry,
+        current.entry_boot_id,
+        current.outcome,
+        current.status,
+        current.content_type,
+        current.body,
+        current.body_kept,
     )
 
 
-def _state_for(held, request_id):
-    if held.outcome:
+def _state_for(current, request_id):
+    if current.outcome:
         return "finished"
-    return "claimed" if held.request_id == request_id else "started"
+    return "claimed" if current.request_id == request_id else "started"
 
 
 def _drop_oldest(entries, before_ms, time_of):
--- a/alderreach/core/owner_leases.py
+++ b/alderreach/core/owner_leases.py
@@ -21,14 +21,14 @@
 class Leases:
     """What one leader remembers; begun anew with each election.
 
-    ``renewed_ms`` maps a domain to when its owner's last renewal came, ``released`` to
+    ``last_renewal_ms`` maps a domain to when its owner's last renewal came, ``released_epochs`` to
     the epoch that was handed back, ``pending_grants`` to the log index of a grant under way.
     """
 
     def __init__(self, elected_ms):
         self.elected_ms = elected_ms
-        self.renewed_ms = {}
-        self.released = {}
+        self.last_renewal_ms = {}
+        self.released_epochs = {}
         self.pending_grants = {}
 
 
@@ -44,18 +44,18 @@
         and (owner.placer, owner.boot_id) == (renewal.placer, renewal.boot_id)
         and owner.epoch == renewal.epoch
         and domain not in leases.pending_grants
-        and leases.released.get(domain) != renewal.epoch
+        and leases.released_epochs.get(domain) != renewal.epoch
     )
 
 
 def record_renewal(leases, failure_domain, now_ms):
     """Note that a renewal came, before it is confirmed."""
-    leases.renewed_ms[failure_domain] = now_ms
+    leases.last_renewal_ms[failure_domain] = now_ms
 
 
 def record_release(leases, renewal):
     """Note that the owner stopped acting and handed its epoch back."""
-    leases.released[renewal.failure_domain] = renewal.epoch
+    leases.released_epochs[renewal.failure_domain] = renewal.epoch
 
 
 def may_grant(leases, owner, command, durations, now_ms):
@@ -69,8 +69,10 @@
         return False
     if owner is None or command.handover or owner.epoch != command.expected_epoch:
         return True
-    if leases.released.get(domain) == owner.epoch:
+    if leases.released_epochs.get(domain) == owner.epoch:
         return True
-    last_ms = max(leases.elected_ms, leases.renewed_ms.get(domain, leases.elected_ms))
+    last_ms = max(
+        leases.elected_ms, leases.last_renewal_ms.get(domain, leases.elected_ms)
+    )
     wait_ms = durations.owner_lease_ms + durations.lease_margin_ms
     return now_ms - last_ms > wait_ms
--- a/alderreach/core/ownership.py
+++ b/alderreach/core/ownership.py
@@ -18,7 +18,7 @@
 from alderreach.core.generated import keeper, placer
 
 GRANT_RETRY_DIVISOR = 4
-GRANT_PAUSE_MIN_MS = 20
+MIN_GRANT_PAUSE_MS = 20
 
 
 class Lease(typing.NamedTuple):
@@ -52,13 +52,13 @@
         self._standbys = tuple(standbys)
         self._wait_ms = timing.owner_lease_ms + timing.lease_margin_ms
         self._keeper_until_ms = 0
-        self._promised_until_ms = dict.fromkeys(self._standbys, 0)
+        self._standby_promises_until_ms = dict.fromkeys(self._standbys, 0)
         self._renewals = {}
         self._next_grant_ms = 0
         # A restarted standby has forgotten its promises. It counts as having promised
         # at its start: otherwise a cut-off owner that still relies on a promise of the
         # boot before would act beside it.
-        self._bound_until_ms = now_ms + self._wait_ms
+        self._own_promise_until_ms = now_ms + self._wait_ms
 
     def may_act(self, now_ms):
         """Whether commands may leave and announcements be answered now."""
@@ -66,7 +66,7 @@
 
     def active_standbys(self, now_ms):
         """The standbys whose promise runs."""
-        promised = self._promised_until_ms
+        promised = self._standby_promises_until_ms
         return [name for name in self._standbys if now_ms < promised[name]]
 
     def observe(self, owner):
@@ -74,17 +74,17 @@
         if owner is None or owner.epoch <= self.epoch:
             return False
         self.owner, self.epoch = owner, owner.epoch
-        mine = self._is_me(owner)
+        is_own = self._is_me(owner)
         deposed = self.is_owner
-        self.is_owner = mine and owner.epoch > self.released_epoch
-        self._forget_leases()
+        self.is_owner = is_own and owner.epoch > self.released_epoch
+        self._reset_leases()
         return deposed
 
     def observe_epoch(self, epoch):
         """A target has seen a higher epoch than ours: stop acting at once."""
         if epoch > self.epoch and self.is_owner:
             self.is_owner = False
-            self._forget_leases()
+            self._reset_leases()
             return True
         return False
 
@@ -108,19 +108,19 @@
         if reply.granted and sent_ms is not None and self.is_owner:
             lease_ms = min(reply.lease_ms, self._timing.owner_lease_ms)
             self._keeper_until_ms = max(self._keeper_until_ms, sent_ms + lease_ms)
-            self._publish(now_ms)
+            self._publish_lease(now_ms)
         return False
 
     def handle_promise(self, standby, promise, now_ms):
         """Take the StandbyPromise of ``standby``."""
-        mine = self.is_owner and promise.epoch == self.epoch
-        if not mine or standby not in self._promised_until_ms:
+        is_own = self.is_owner and promise.epoch == self.epoch
+        if not is_own or standby not in self._standby_promises_until_ms:
             return
         length_ms = min(promise.promise_ms, self._timing.owner_lease_ms)
         until_ms = promise.sent_monotonic_ms + length_ms
-        before_ms = self._promised_until_ms[standby]
-        self._promised_until_ms[standby] = max(before_ms, until_ms)
-        self._publish(now_ms)
+        before_ms = self._standby_promises_until_ms[standby]
+        self._standby_promises_until_ms[standby] = max(before_ms, until_ms)
+        self._publish_lease(now_ms)
 
     def handle_beat(self, beat, record_sequence, now_ms):
         """Take an owner's beat; returns the promise to send, or None.
@@ -134,10 +134,10 @@
             return None
         if beat.handover:
             self.released_epoch = beat.epoch
-            self._bound_until_ms = now_ms
+            self._own_promise_until_ms = now_ms
             self._next_grant_ms = 0
             return None
-        self._bound_until_ms = now_ms + self._wait_ms
+        self._own_promise_until_ms = now_ms + self._wait_ms
         return placer.StandbyPromise(
             beat.failure_domain,
             beat.epoch,
@@ -152,11 +152,11 @@
         With no owner ever (epoch 0) nothing is waited for: the grant succeeds only if
         there still is none, so nobody can be acting.
         """
-        bound = self.epoch > 0 and now_ms < self._bound_until_ms
-        if self.is_owner or bound or now_ms < self._next_grant_ms:
+        is_bound = self.epoch > 0 and now_ms < self._own_promise_until_ms
+        if self.is_owner or is_bound or now_ms < self._next_grant_ms:
             return None
         pause_ms = max(
-            GRANT_PAUSE_MIN_MS, self._timing.owner_beat_ms // GRANT_RETRY_DIVISOR
+            MIN_GRANT_PAUSE_MS, self._timing.owner_beat_ms // GRANT_RETRY_DIVISOR
         )
         self._next_grant_ms = now_ms + pause_ms
         me = self.me
@@ -170,17 +170,17 @@
             self.epoch > 0 and self.released_epoch == self.epoch,
         )
 
-    def grant_delay_ms(self, now_ms, longest_ms):
-        """Return how long a standby need not look, at most ``longest_ms``."""
-        next_ms = max(self._bound_until_ms, self._next_grant_ms)
-        return min(max(next_ms - now_ms, GRANT_PAUSE_MIN_MS), longest_ms)
+    def grant_delay_ms(self, now_ms, max_delay_ms):
+        """Return how long a standby need not look, at most ``max_delay_ms``."""
+        next_ms = max(self._own_promise_until_ms, self._next_grant_ms)
+        return min(max(next_ms - now_ms, MIN_GRANT_PAUSE_MS), max_delay_ms)
 
     def hand_over(self):
         """Stop acting for good in this epoch; True if we were the owner."""
         was_owner = self.is_owner
         self.is_owner = False
         self.released_epoch = self.epoch
-        self._forget_leases()
+        self._reset_leases()
         return was_owner
 
     def release_message(self, request_id):
@@ -193,16 +193,16 @@
     def _is_me(self, owner):
         return (owner.placer, owner.boot_id) == (self.me.placer, self.me.boot_id)
 
-    def _forget_leases(self):
+    def _reset_leases(self):
         self._keeper_until_ms = 0
-        self._promised_until_ms = dict.fromkeys(self._standbys, 0)
+        self._standby_promises_until_ms = dict.fromkeys(self._standbys, 0)
         self._renewals = {}
         self.lease = NO_LEASE
 
-    def _publish(self, now_ms):
+    def _publish_lease(self, now_ms):
         """Publish the later of both leases, but none while our own promise binds us."""
-        if now_ms < self._bound_until_ms and self.epoch > 1:
+        if now_ms < self._own_promise_until_ms and self.epoch > 1:
             return
-        promises = self._promised_until_ms.values()
+        promises = self._standby_promises_until_ms.values()
         until_ms = max(self._keeper_until_ms, min(promises, default=0))
         self.lease = Lease(self.epoch, until_ms)
--- a/alderreach/core/plain_objects.py
+++ b/alderreach/core/plain_objects.py
@@ -52,7 +52,7 @@
         mistakes.extend(inner)
         return record
     if not _fits(hint, entry):
-        mistakes.append((path, f"must be {_words(hint)}"))
+        mistakes.append((path, f"must be {_type_label(hint)}"))
     return entry
 
 
@@ -65,7 +65,7 @@
     return type(value) is hint
 
 
-def _words(hint):
+def _type_label(hint):
     names = {int: "a whole number", str: "a text", bool: "true or false"}
     if typing.get_origin(hint) is list:
         return "a list of texts"
--- a/alderreach/core/raft.py
+++ b/alderreach/core/raft.py
@@ -36,7 +36,7 @@
     raft_state.CANDIDATE,
     raft_state.LEADER,
 )
-PROPOSALS_MAX = 20_000
+MAX_UNCOMMITTED_ENTRIES = 20_000
 
 
 def found_cell(node, members, term, wall_ms):
@@ -54,7 +54,7 @@
         if removed or not raft_leader.has_quorum(node, now_ms):
             raft_election.become_follower(node, now_ms)
         else:
-            raft_leader.beat(node, now_ms)
+            raft_leader.send_heartbeats(node, now_ms)
     elif now_ms >= node.election_due_ms:
         raft_election.set_election_due(node, now_ms)
         if node.is_voter:
@@ -70,7 +70,10 @@
     if node.role != LEADER or not raft_leader.has_quorum(node, now_ms):
         return None
     is_first = node.log.last_index < node.first_index_of_term
-    if not is_first and node.log.last_index - node.commit_index >= PROPOSALS_MAX:
+    if (
+        not is_first
+        and node.log.last_index - node.commit_index >= MAX_UNCOMMITTED_ENTRIES
+    ):
         return None
     last = node.log.entries[-1].wall_ms if node.log.entries else 0
     entry = keeper.LogEntry(node.term, max(wall_ms, last), kind, data)
@@ -126,7 +129,7 @@
         raft_leader.advance_commit(node)
 
 
-def _follow(node, message, now_ms):
+def _accept_leader(node, message, now_ms):
     """Accept the sender as leader of this term; False for one of an older term."""
     if message.term < node.term:
         return False
@@ -139,10 +142,10 @@
 
 
 def _handle_append(node, message, now_ms):
-    following = _follow(node, message, now_ms)
+    following = _accept_leader(node, message, now_ms)
     accepted, match_index = False, node.log.last_index
     if following:
-        accepted, match_index = _take_entries(node, message)
+        accepted, match_index = _store_entries(node, message)
     reply = keeper.AppendReply(
         message.leader,
         node.identity,
@@ -155,14 +158,14 @@
     node.outbox.append((message.leader, reply))
 
 
-def _take_entries(node, message):
+def _store_entries(node, message):
     previous, entries = message.previous_index, message.entries
     if previous < node.log.base_index:
         # Entries a snapshot covers are committed, so they match.
         entries = entries[node.log.base_index - previous :]
         previous = node.log.base_index
     elif node.log.term_at(previous) != message.previous_term:
-        return False, _where_to_try(node, previous)
+        return False, _next_probe_index(node, previous)
     index = previous
     for place, entry in enumerate(entries):
         if node.log.term_at(index + 1) != entry.term:
@@ -178,7 +181,7 @@
     return True, match_index
 
 
-def _where_to_try(node, previous):
+def _next_probe_index(node, previous):
     """Skip a whole term that did not match, so that repair takes one trip per term."""
     if previous > node.log.last_index:
         return node.log.last_index
@@ -192,7 +195,7 @@
 
 
 def _handle_chunk(node, message, now_ms):
-    if _follow(node, message, now_ms):
+    if _accept_leader(node, message, now_ms):
         raft_snapshot.receive(node, message)
 
 
--- a/alderreach/core/raft_election.py
+++ b/alderreach/core/raft_election.py
@@ -77,7 +77,7 @@
         raft_leader.become_leader(node, now_ms)
 
 
-def _hears_leader(node, now_ms):
+def _has_active_leader(node, now_ms):
     if node.role == raft_state.LEADER:
         return True
     timeout_ms = node.rules.election_timeout_ms
@@ -88,14 +88,17 @@
 
 def handle_vote_request(node, message, now_ms):
     """Answer a candidate; one whose log lacks entries of this one's gets no vote."""
-    refused = _hears_leader(node, now_ms) and not message.transfer
+    refused = _has_active_leader(node, now_ms) and not message.transfer
     if not refused and not message.trial and message.term > node.term:
         adopt_term(node, message.term)
         become_follower(node, now_ms)
     log = node.log
-    newer = (message.last_term, message.last_index) >= (log.last_term, log.last_index)
-    granted = not refused and newer and _is_free(node, message)
-    if granted and message.trial and _gives_way(node, message):
+    is_up_to_date = (message.last_term, message.last_index) >= (
+        log.last_term,
+        log.last_index,
+    )
+    granted = not refused and is_up_to_date and _can_vote_for(node, message)
+    if granted and message.trial and _yields_to(node, message):
         become_follower(node, now_ms)
     if granted and not message.trial:
         node.voted_for = message.candidate
@@ -111,13 +114,13 @@
     node.outbox.append((message.candidate, reply))
 
 
-def _gives_way(node, message):
+def _yields_to(node, message):
     """Whether this node asks for votes itself and leaves that to the other."""
     is_asking = node.role == raft_state.CANDIDATE
     return is_asking and message.candidate < node.identity
 
 
-def _is_free(node, message):
+def _can_vote_for(node, message):
     if message.trial:
         return message.term > node.term
     return message.term == node.term and node.voted_for in ("", message.candidate)
--- a/alderreach/core/raft_leader.py
+++ b/alderreach/core/raft_leader.py
@@ -15,7 +15,7 @@
     node.leader, node.leader_name = node.identity, node.name
     node.elected_ms = now_ms
     node.progress = {}
-    node.round_wanted = False
+    node.round_requested = False
     node.transfer = False
     node.first_index_of_term = node.log.last_index + 1
     node.next_beat_ms = now_ms
@@ -37,7 +37,7 @@
     last_contact_ms = membership.quorum_value(
         node.members,
         lambda identity: (
-            now_ms if identity == node.identity else _heard_ms(node, identity)
+            now_ms if identity == node.identity else _last_contact_ms(node, identity)
         ),
     )
     return now_ms - last_contact_ms < node.rules.election_timeout_ms
@@ -49,7 +49,7 @@
     Once a majority has answered that round, no newer leader had been elected when it
     was asked for: the answers came from voters that had not moved to a newer term.
     """
-    node.round_wanted = True
+    node.round_requested = True
     return node.round + 1
 
 
@@ -58,12 +58,12 @@
     return membership.quorum_value(
         node.members,
         lambda identity: (
-            node.round if identity == node.identity else _round(node, identity)
+            node.round if identity == node.identity else _answered_round(node, identity)
         ),
     )
 
 
-def beat(node, now_ms):
+def send_heartbeats(node, now_ms):
     """Send a heartbeat to all if it is due, and a lost chunk again."""
     if now_ms >= node.next_beat_ms:
         node.next_beat_ms = now_ms + node.rules.beat_ms
@@ -87,9 +87,9 @@
     """Put out what is new: entries, and a round if a read waits for one."""
     if node.role != raft_state.LEADER:
         return
-    even_empty = node.round_wanted
-    if node.round_wanted:
-        node.round_wanted = False
+    even_empty = node.round_requested
+    if node.round_requested:
+        node.round_requested = False
         node.round += 1
     for identity, progress in node.progress.items():
         _replicate(node, identity, progress, now_ms, even_empty)
@@ -103,7 +103,7 @@
     progress.last_contact_ms = now_ms
     progress.round = max(progress.round, message.round)
     if message.accepted:
-        _accepted(node, progress, message)
+        _on_accepted(node, progress, message)
     elif message.previous_index == progress.next_index - 1 or not progress.probing:
         if message.previous_index > progress.match_index:
             progress.probing = True
@@ -181,7 +181,7 @@
     )
 
 
-def _accepted(node, progress, message):
+def _on_accepted(node, progress, message):
     if message.match_index > progress.match_index:
         progress.match_index = message.match_index
         advance_commit(node)
@@ -251,12 +251,12 @@
     progress.sent_ms = now_ms
 
 
-def _heard_ms(node, identity):
+def _last_contact_ms(node, identity):
     progress = node.progress.get(identity)
     return progress.last_contact_ms if progress else node.elected_ms
 
 
-def _round(node, identity):
+def _answered_round(node, identity):
     progress = node.progress.get(identity)
     return progress.round if progress else 0
 
--- a/alderreach/core/raft_log.py
+++ b/alderreach/core/raft_log.py
@@ -43,26 +43,26 @@
         """The entry at an index the log holds."""
         return self.entries[index - self.base_index - 1]
 
-    def after(self, index, most, most_bytes):
+    def after(self, index, max_entries, max_bytes):
         """Entries after ``index``: at least one if there is one, within both bounds."""
         start = index - self.base_index
-        taken, size = [], 0
-        for entry in self.entries[start : start + most]:
+        batch, size = [], 0
+        for entry in self.entries[start : start + max_entries]:
             size += len(entry.data)
-            if taken and size > most_bytes:
+            if batch and size > max_bytes:
                 break
-            taken.append(entry)
-        return taken
+            batch.append(entry)
+        return batch
 
     def append(self, entries):
         """Add entries at the end."""
         if entries:
-            self._touch(self.last_index + 1)
+            self._mark_unsynced(self.last_index + 1)
             self.entries.extend(entries)
 
     def truncate_from(self, index):
         """Drop the entry at ``index`` and all after it."""
-        self._touch(index)
+        self._mark_unsynced(index)
         del self.entries[index - self.base_index - 1 :]
 
     def compact(self, index):
@@ -86,6 +86,6 @@
         start = bisect.bisect_left(self.entries, term, 0, end, key=lambda e: e.term)
         return self.base_index + 1 + start
 
-    def _touch(self, index):
+    def _mark_unsynced(self, index):
         if self.unsynced_from is None or index < self.unsynced_from:
             self.unsynced_from = index
--- a/alderreach/core/raft_snapshot.py
+++ b/alderreach/core/raft_snapshot.py
@@ -33,22 +33,22 @@
     if message.index <= node.commit_index:
         _reply(node, message, message.size)
         return
-    receiving = node.receiving
-    if receiving is None or receiving[:2] != (message.index, message.snapshot_term):
+    incoming = node.incoming
+    if incoming is None or incoming[:2] != (message.index, message.snapshot_term):
         node.sink.begin(message.index, message.snapshot_term)
-        receiving = raft_state.Receiving(message.index, message.snapshot_term, 0)
-    if message.offset == receiving.offset:
+        incoming = raft_state.IncomingSnapshot(message.index, message.snapshot_term, 0)
+    if message.offset == incoming.offset:
         node.sink.write(message.data)
-        receiving = receiving._replace(offset=receiving.offset + len(message.data))
-    node.receiving = receiving
-    if receiving.offset >= message.size:
+        incoming = incoming._replace(offset=incoming.offset + len(message.data))
+    node.incoming = incoming
+    if incoming.offset >= message.size:
         _finish(node, message)
     else:
-        _reply(node, message, receiving.offset)
+        _reply(node, message, incoming.offset)
 
 
 def _finish(node, message):
-    node.receiving = None
+    node.incoming = None
     snapshot = node.sink.finish()
     if snapshot is None:
         _reply(node, message, 0)
@@ -61,10 +61,10 @@
     """Continue from the snapshot; the log stays only where it agrees with it."""
     if node.log.term_at(snapshot.index) != snapshot.term:
         node.log.reset(snapshot.index, snapshot.term)
-        node.configs = []
+        node.memberships = []
     node.snapshot = snapshot
-    later = [config for config in node.configs if config[0] > snapshot.index]
-    node.configs = [(snapshot.index, snapshot.members), *later]
+    later = [entry for entry in node.memberships if entry[0] > snapshot.index]
+    node.memberships = [(snapshot.index, snapshot.members), *later]
     node.commit_index = snapshot.index
     node.installed_snapshot = snapshot
 
--- a/alderreach/core/raft_state.py
+++ b/alderreach/core/raft_state.py
@@ -62,18 +62,18 @@
         self.offset = 0
 
 
-def first_wait_ms(rules, random):
+def initial_election_wait_ms(rules, random):
     """How long a starting voter waits for a leader before it asks for votes.
 
     A third of the election timeout at least, several beats, so that a leader that
     serves is heard first; and a lot, since after a loss of power all voters start in
     the same moment. Asking early deposes nobody: it is on trial first.
     """
-    least_ms = rules.election_timeout_ms // 3
-    return least_ms + random.randrange(rules.election_timeout_ms // 3)
+    min_wait_ms = rules.election_timeout_ms // 3
+    return min_wait_ms + random.randrange(rules.election_timeout_ms // 3)
 
 
-class Receiving(typing.NamedTuple):
+class IncomingSnapshot(typing.NamedTuple):
     """A snapshot that is coming in."""
 
     index: int
@@ -100,14 +100,14 @@
         self.vote_changed = False
         self.log = raft_log.Log()
         self.snapshot = None
-        self.configs = []
+        self.memberships = []
         self.commit_index = 0
         self.synced_index = 0
         self.role = FOLLOWER
         self.leader = ""
         self.leader_name = ""
         self.last_contact_ms = None
-        self.election_due_ms = now_ms + first_wait_ms(rules, random)
+        self.election_due_ms = now_ms + initial_election_wait_ms(rules, random)
         self.trial = False
         self.transfer = False
         self.votes = set()
@@ -116,8 +116,8 @@
         self.first_index_of_term = 0
         self.next_beat_ms = 0
         self.round = 0
-        self.round_wanted = False
-        self.receiving = None
+        self.round_requested = False
+        self.incoming = None
         self.installed_snapshot = None
         self.presync_outbox = []
         self.outbox = []
@@ -125,12 +125,12 @@
     @property
     def members(self):
         """The membership in force, which is the newest in the log."""
-        return self.configs[-1][1] if self.configs else []
+        return self.memberships[-1][1] if self.memberships else []
 
     @property
     def members_index(self):
         """Index of the entry that holds the membership in force."""
-        return self.configs[-1][0] if self.configs else 0
+        return self.memberships[-1][0] if self.memberships else 0
 
     @property
     def is_voter(self):
@@ -148,7 +148,7 @@
 
     def members_at(self, index):
         """The membership as of ``index``."""
-        known = [members for at, members in self.configs if at <= index]
+        known = [members for at, members in self.memberships if at <= index]
         return known[-1] if known else []
 
 
@@ -160,49 +160,49 @@
     node.snapshot = snapshot
     if snapshot is not None:
         node.commit_index = snapshot.index
-        node.configs = [(snapshot.index, snapshot.members)]
+        node.memberships = [(snapshot.index, snapshot.members)]
     first = node.commit_index + 1
-    _note_members(node, first, log.entries[first - log.base_index - 1 :])
+    _record_memberships(node, first, log.entries[first - log.base_index - 1 :])
 
 
 def append(node, entries):
     """Add entries to the log; a membership among them is in force at once."""
     first = node.log.last_index + 1
     node.log.append(entries)
-    _note_members(node, first, entries)
+    _record_memberships(node, first, entries)
 
 
 def truncate_from(node, index):
     """Drop entries that lost against a newer leader's."""
     node.log.truncate_from(index)
-    node.configs = [config for config in node.configs if config[0] < index]
+    node.memberships = [entry for entry in node.memberships if entry[0] < index]
 
 
-def compaction_index(log, index, most, most_bytes):
+def compaction_index(log, index, max_entries, max_bytes):
     """Where a log may start after a snapshot at ``index``.
 
     A tail before it is kept, so that a follower a little behind gets entries, not the
     whole snapshot.
     """
     size = 0
-    while index > log.base_index and most > 0:
+    while index > log.base_index and max_entries > 0:
         size += len(log.entry(index).data)
-        if size > most_bytes:
+        if size > max_bytes:
             break
-        index, most = index - 1, most - 1
+        index, max_entries = index - 1, max_entries - 1
     return index
 
 
 def compact(node, index):
     """Drop entries up to ``index`` that the node's snapshot covers."""
     node.log.compact(index)
-    older = [config for config in node.configs if config[0] <= index]
-    newer = [config for config in node.configs if config[0] > index]
-    node.configs = older[-1:] + newer
+    older = [entry for entry in node.memberships if entry[0] <= index]
+    newer = [entry for entry in node.memberships if entry[0] > index]
+    node.memberships = older[-1:] + newer
 
 
-def _note_members(node, first, entries):
+def _record_memberships(node, first, entries):
     for index, entry in enumerate(entries, first):
         if entry.kind == "members":
             members = codec.decode(entry.data, keeper.MemberList).members
-            node.configs.append((index, members))
+            node.memberships.append((index, members))
--- a/alderreach/core/records.py
+++ b/alderreach/core/records.py
@@ -37,7 +37,7 @@
     def __init__(self):
         self.sequence = 0
         self._entries = {}
-        self._floor = 0
+        self._floor_sequence = 0
         self._deletions = 0
 
     def put(self, kind, key, record):
@@ -52,7 +52,7 @@
 
     def changes_since(self, acked):
         """Return the Changes a standby lacks that has all up to ``acked``."""
-        from_record = acked if self._floor <= acked <= self.sequence else 0
+        from_record = acked if self._floor_sequence <= acked <= self.sequence else 0
         parts = {"placement": [], "worker": [], "runner": []}
         for (kind, _), (sequence, record) in reversed(self._entries.items()):
             if sequence <= from_record:
@@ -77,7 +77,7 @@
         ]
         for key, sequence in done:
             del self._entries[key]
-            self._floor = max(self._floor, sequence)
+            self._floor_sequence = max(self._floor_sequence, sequence)
         self._deletions -= len(done)
 
 
--- a/alderreach/core/resources.py
+++ b/alderreach/core/resources.py
@@ -8,10 +8,10 @@
     return common.Resources(*(number * amount for amount in resources))
 
 
-def fits(resources, room):
-    """Whether ``resources`` is at most ``room`` in each dimension.
+def fits(resources, available):
+    """Whether ``resources`` is at most ``available`` in each dimension.
 
     >>> fits(common.Resources(1, 2, 0), common.Resources(1, 2, 0))
     True
     """
-    return all(asked <= free for asked, free in zip(resources, room, strict=True))
+    return all(asked <= free for asked, free in zip(resources, available, strict=True))
--- a/alderreach/core/target_membership.py
+++ b/alderreach/core/target_membership.py
@@ -13,10 +13,10 @@
 
 from alderreach.core.generated import common, placer
 
-FLAPS_MAX = 3
+MAX_FLAPS = 3
 FLAP_WINDOW_MS = 60_000
-DAMPED_MS = 20_000
-TOMBSTONES_MAX = 1000
+FLAP_DAMPING_MS = 20_000
+MAX_TOMBSTONES = 1000
 
 
 class ReportedTask(typing.NamedTuple):
@@ -58,7 +58,7 @@
     last_contact_ms: int
     state: str
     reported: bool
-    falls_ms: tuple
+    outages_ms: tuple
 
 
 class Membership:
@@ -76,59 +76,59 @@
         self._views = {}
         self._changed = {}
         self._leaving = frozenset()
-        self._floor = 0
+        self._floor_sequence = 0
 
     def add_expected(self, announced, now_ms):
         """Note a target known from a predecessor; its lease counts from now."""
         self.targets[announced.target_id] = Target(
             announced, now_ms, "ready", False, ()
         )
-        self._refresh(announced.target_id)
+        self._update_view(announced.target_id)
 
     def announce(self, announced, now_ms):
         """Take an announcement; returns what it meant."""
         known = self.targets.get(announced.target_id)
-        meaning = self._meaning(known, announced)
-        if meaning == "stale":
-            return meaning
-        falls_ms = known.falls_ms if known else ()
-        if meaning == "restarted" or (known and known.state == "dead"):
-            falls_ms = self._fallen(falls_ms, now_ms)
+        effect = self._classify(known, announced)
+        if effect == "stale":
+            return effect
+        outages_ms = known.outages_ms if known else ()
+        if effect == "restarted" or (known and known.state == "dead"):
+            outages_ms = self._add_outage(outages_ms, now_ms)
         state = announced.state if announced.state != "gone" else "dead"
-        if state == "ready" and self._is_damped(falls_ms, now_ms):
+        if state == "ready" and self._is_damped(outages_ms, now_ms):
             state = "suspect"
         self.targets[announced.target_id] = Target(
-            announced, now_ms, state, True, falls_ms
+            announced, now_ms, state, True, outages_ms
         )
-        self._refresh(announced.target_id)
-        return meaning
+        self._update_view(announced.target_id)
+        return effect
 
     def tick(self, now_ms):
         """Let silent targets become suspect or dead; returns those that changed."""
         changed = []
         for target_id, target in self.targets.items():
-            state = self._aged(target, now_ms)
+            state = self._state_after_silence(target, now_ms)
             if state != target.state:
                 changed.append((target_id, target._replace(state=state)))
         for target_id, target in changed:
             if target.state == "suspect" and self.targets[target_id].state == "ready":
-                falls_ms = self._fallen(target.falls_ms, now_ms)
-                target = target._replace(falls_ms=falls_ms)
+                outages_ms = self._add_outage(target.outages_ms, now_ms)
+                target = target._replace(outages_ms=outages_ms)
             self.targets[target_id] = target
-            self._refresh(target_id)
+            self._update_view(target_id)
         return [target_id for target_id, _ in changed]
 
     def forget(self, target_id):
         """Drop a target; entries are told that it is dead."""
         if self.targets.pop(target_id, None) is not None:
-            self._refresh(target_id)
+            self._update_view(target_id)
 
     def set_leaving(self, target_ids):
         """Show these runners as leaving, whatever they say, as before maintenance."""
         changed = self._leaving ^ frozenset(target_ids)
         self._leaving = frozenset(target_ids)
         for target_id in changed:
-            self._refresh(target_id)
+            self._update_view(target_id)
 
     def runners(self):
         """Return the RunnerView of every runner that is not dead."""
@@ -139,7 +139,7 @@
 
         A sequence from before a forgotten tombstone gets everything.
         """
-        if sequence < self._floor or not 0 < sequence <= self.sequence:
+        if sequence < self._floor_sequence or not 0 < sequence <= self.sequence:
             return 0, self.runners()
         changed = []
         for runner_id, at_sequence in reversed(self._changed.items()):
@@ -148,7 +148,7 @@
             changed.append(self._views[runner_id])
         return sequence, changed[::-1]
 
-    def _meaning(self, known, announced):
+    def _classify(self, known, announced):
         if known is None:
             return "gone" if announced.state == "gone" else "new"
         if known.announced.boot_id != announced.boot_id:
@@ -157,7 +157,7 @@
             return "stale"
         return "gone" if announced.state == "gone" else "renewed"
 
-    def _aged(self, target, now_ms):
+    def _state_after_silence(self, target, now_ms):
         if target.state == "dead":
             return "dead"
         silent_ms = now_ms - target.last_contact_ms
@@ -167,15 +167,17 @@
             return "suspect"
         return target.state
 
-    def _fallen(self, falls_ms, now_ms):
-        recent = [at for at in falls_ms if now_ms - at < FLAP_WINDOW_MS]
-        return (*recent, now_ms)[-FLAPS_MAX:]
+    def _add_outage(self, outages_ms, now_ms):
+        recent = [at for at in outages_ms if now_ms - at < FLAP_WINDOW_MS]
+        return (*recent, now_ms)[-MAX_FLAPS:]
 
-    def _is_damped(self, falls_ms, now_ms):
-        many = len(falls_ms) >= FLAPS_MAX and now_ms - falls_ms[0] < FLAP_WINDOW_MS
-        return many and now_ms - falls_ms[-1] < DAMPED_MS
+    def _is_damped(self, outages_ms, now_ms):
+        is_flapping = (
+            len(outages_ms) >= MAX_FLAPS and now_ms - outages_ms[0] < FLAP_WINDOW_MS
+        )
+        return is_flapping and now_ms - outages_ms[-1] < FLAP_DAMPING_MS
 
-    def _refresh(self, target_id):
+    def _update_view(self, target_id):
         """Number the runner's view anew if it changed."""
         target = self.targets.get(target_id)
         before = self._views.get(target_id)
@@ -213,10 +215,12 @@
 
     def _trim(self):
         dead = [key for key, view in self._views.items() if view.state == "dead"]
-        if len(dead) <= TOMBSTONES_MAX:
+        if len(dead) <= MAX_TOMBSTONES:
             return
         for runner_id in sorted(dead, key=self._changed.get)[: len(dead) // 2]:
-            self._floor = max(self._floor, self._changed.pop(runner_id))
+            self._floor_sequence = max(
+                self._floor_sequence, self._changed.pop(runner_id)
+            )
             del self._views[runner_id]
             self.targets.pop(runner_id, None)
 
--- a/alderreach/core/target_views.py
+++ b/alderreach/core/target_views.py
@@ -23,7 +23,7 @@
 EMPTY = DomainView(0, 0, {})
 
 
-class Applied(typing.NamedTuple):
+class ApplyResult(typing.NamedTuple):
     """The copy after a view, and whether the owner must be asked for a full one."""
 
     view: DomainView
@@ -37,21 +37,21 @@
     True
     """
     if pushed.epoch < current.epoch:
-        return Applied(current, False)
+        return ApplyResult(current, False)
     is_full = pushed.from_sequence == 0
     if pushed.epoch > current.epoch and not is_full:
-        return Applied(current, True)
+        return ApplyResult(current, True)
     if pushed.epoch == current.epoch and pushed.sequence <= current.sequence:
-        return Applied(current, False)
+        return ApplyResult(current, False)
     if not is_full and pushed.from_sequence > current.sequence:
-        return Applied(current, True)
+        return ApplyResult(current, True)
     runners = {} if is_full else dict(current.runners)
     for runner in pushed.runners:
         if runner.state == DEAD:
             runners.pop(runner.runner_id, None)
         else:
             runners[runner.runner_id] = runner
-    return Applied(DomainView(pushed.epoch, pushed.sequence, runners), False)
+    return ApplyResult(DomainView(pushed.epoch, pushed.sequence, runners), False)
 
 
 def watch_request(view, has_gap):
