--- a/alderreach/core/orders.py
+++ b/alderreach/core/orders.py
@@ -107,7 +107,7 @@
     clock_ms: int | None = None
     """The worker's clock when it responded."""
     detail: str = ""
-    is_connection_lost: bool = False
+    lost_connection: bool = False
     """The connection closed before the response arrived, as when a worker crashes."""
 
 
--- a/alderreach/core/target_membership.py
+++ b/alderreach/core/target_membership.py
@@ -121,7 +121,7 @@
             self._update_view(target_id)
         return [target_id for target_id, _ in changed]
 
-    def forget(self, target_id):
+    def remove(self, target_id):
         """Remove a target; entries see it as dead."""
         if self.targets.pop(target_id, None) is not None:
             self._update_view(target_id)
--- a/alderreach/ops/controller/order_answers.py
+++ b/alderreach/ops/controller/order_answers.py
@@ -86,7 +86,7 @@
     elif result.outcome == orders.UNKNOWN:
         is_at_start = now_ms - run.placed_ms < crash_blame.BROKEN_OFF_MS
         run.is_broken_off = run.is_broken_off or (
-            result.is_connection_lost and is_at_start
+            result.lost_connection and is_at_start
         )
         worker.may_arrive_late(run, now_ms)
         run.next_send_ms = now_ms + RESEND_AFTER_MS
--- a/alderreach/ops/placer/placing.py
+++ b/alderreach/ops/placer/placing.py
@@ -276,7 +276,7 @@
         if target.announced.kind == "worker":
             self.workers.remove(target_id)
             self.ledger.note_worker(target.announced, gone=True)
-        self.members.forget(target_id)
+        self.members.remove(target_id)
         self.ledger.note_runners()
 
     # ---- time
--- a/alderreach/platform/targets.py
+++ b/alderreach/platform/targets.py
@@ -59,7 +59,7 @@
     except (http_client.UnansweredError, wire.Malformed) as error:
         is_broken_off = isinstance(error, http_client.BrokenOffError)
         return orders.OrderResult(
-            orders.UNKNOWN, detail=str(error), is_connection_lost=is_broken_off
+            orders.UNKNOWN, detail=str(error), lost_connection=is_broken_off
         )
 
 
