--- a/alderreach/core/keeper_state.py
+++ b/alderreach/core/keeper_state.py
@@ -87,8 +87,8 @@
     prefixes = tuple(prefixes)
     items = []
     reached = version
-    for place in range(start, len(state.history)):
-        changed_at, key = state.history[place]
+    for position in range(start, len(state.history)):
+        changed_at, key = state.history[position]
         if changed_at != reached and len(items) >= max_items:
             return reached, items
         reached = changed_at
--- a/alderreach/core/raft.py
+++ b/alderreach/core/raft.py
@@ -17,8 +17,8 @@
   depose a working leader. A candidate therefore sends a pre-vote first (``trial``), and
   a voter that had contact with a leader within the election timeout refuses it.
 - *A leader is partitioned from the majority, or frozen and resumed.* It would continue
-  to answer requests. It steps down when a majority of voters has been silent for an
-  election timeout, which ``tick`` checks before anything else happens.
+  to refuse requests and make promises. It steps down when a majority of voters has been
+  silent for an election timeout, which ``tick`` checks before anything else happens.
 - *A voter lost its disk.* It could vote twice in a term, or vote for a candidate that
   lacks entries which the voter had acknowledged. Messages name the identity they are
   addressed to, and each identity belongs to one disk; see ``founding``.
@@ -172,11 +172,11 @@
     elif node.log.term_at(previous) != message.previous_term:
         return False, _next_probe_index(node, previous)
     index = previous
-    for place, entry in enumerate(entries):
+    for position, entry in enumerate(entries):
         if node.log.term_at(index + 1) != entry.term:
             if index + 1 <= node.log.last_index:
                 raft_state.truncate_from(node, index + 1)
-            raft_state.append(node, entries[place:])
+            raft_state.append(node, entries[position:])
             break
         index += 1
     match_index = message.previous_index + len(message.entries)
