--- a/alderreach/ops/placer/announcing.py
+++ b/alderreach/ops/placer/announcing.py
@@ -24,7 +24,7 @@
 }
 
 
-class Announced(typing.NamedTuple):
+class AnnouncementRequest(typing.NamedTuple):
     """An announcement for the task; the ticket gets an Answer."""
 
     announcement: target_membership.Announcement
@@ -46,7 +46,7 @@
 
 
 def make_application(failure_domain, put, body_bytes):
-    """Return the callable; ``put(Announced)`` hands an announcement to the task."""
+    """Return the callable; ``put(AnnouncementRequest)`` hands an announcement to the task."""
 
     def answer(environ):
         path = environ.get("PATH_INFO", "")
@@ -69,7 +69,7 @@
             detail = f"this placer serves the failure domain {failure_domain}"
             return problem(400, "The request is not well formed", detail)
         ticket = tasks.Ticket()
-        put(Announced(announcement, ticket))
+        put(AnnouncementRequest(announcement, ticket))
         told = ticket.wait(ANSWER_WAIT_MS)
         return told or problem(503, "The placer is busy", "announce again")
 
--- a/alderreach/ops/placer/service.py
+++ b/alderreach/ops/placer/service.py
@@ -143,7 +143,7 @@
         self._follow_ownership(now_ms)
 
     def _dispatch(self, mail, now_ms):
-        if isinstance(mail, announcing.Announced):
+        if isinstance(mail, announcing.AnnouncementRequest):
             mail.ticket.answer(self._announced(mail.announcement, now_ms))
         elif isinstance(mail, target_wire.BatchResult):
             self._batch_ended(mail, now_ms)
