--- a/alderreach/ops/daemon.py
+++ b/alderreach/ops/daemon.py
@@ -73,12 +73,12 @@
         super().__init__()
         self._events = events
 
-    def emit(self, entry):
+    def emit(self, log_record):
         """Record one message, with the traceback if there is one."""
-        text = entry.getMessage()
-        if entry.exc_info:
-            text += "\n" + "".join(traceback.format_exception(*entry.exc_info))
-        self._events.record("log", level=entry.levelname.lower(), text=text)
+        text = log_record.getMessage()
+        if log_record.exc_info:
+            text += "\n" + "".join(traceback.format_exception(*log_record.exc_info))
+        self._events.record("log", level=log_record.levelname.lower(), text=text)
 
 
 class _Dispatcher:
@@ -100,12 +100,12 @@
             self.context.transport.send(received.reply_address, page)
         elif isinstance(message, common.StatusQuery):
             self.context.transport.send(
-                received.reply_address, self.reply(message.request_id)
+                received.reply_address, self.status_reply(message.request_id)
             )
         else:
             self.role.deliver(received)
 
-    def reply(self, request_id):
+    def status_reply(self, request_id):
         process = self.context.settings.process
         status = self.role.status()
         return common.StatusReply(
@@ -146,7 +146,7 @@
     _install_signals(stopping)
     with contextlib.ExitStack() as stack:
         dispatcher = _Dispatcher()
-        context = _open(role, settings, stack, dispatcher, path)
+        context = _open_context(role, settings, stack, dispatcher, path)
         dispatcher.context = context
         dispatcher.role = build(context)
         if settings.listen.platform:
@@ -173,7 +173,7 @@
         logging.get_absl_logger().handlers[:] = []
         stack.callback(events.close)
         return events
-    line = timeline.Timeline(
+    time_line = timeline.Timeline(
         process.name,
         boot_id,
         clocks.SYSTEM,
@@ -182,38 +182,40 @@
         limits.timeline_file_bytes,
         limits.timeline_files,
     )
-    stack.callback(line.close)
-    return line
+    stack.callback(time_line.close)
+    return time_line
 
 
-def _open(role, settings, stack, dispatcher, path):
+def _open_context(role, settings, stack, dispatcher, path):
     process, timing = settings.process, settings.timing
     boot_id = uuid.uuid4().hex[:12]
     pathlib.Path(process.data_folder).mkdir(parents=True, exist_ok=True)
-    line = _open_events(role, settings, boot_id, stack)
-    link = transport.Transport(
+    time_line = _open_events(role, settings, boot_id, stack)
+    peer_transport = transport.Transport(
         (process.cell, process.name, boot_id),
         settings.listen.peers,
         {peer.name: peer.address for peer in settings.peers},
         dispatcher.deliver,
         clocks.SYSTEM,
         timing.peer_silence_ms,
-        on_undecodable=lambda text: line.record("message_undecodable", detail=text),
+        on_undecodable=lambda text: time_line.record(
+            "message_undecodable", detail=text
+        ),
     )
-    stack.callback(link.close)
+    stack.callback(peer_transport.close)
     context = Context(
         role,
         settings,
         boot_id,
         clocks.SYSTEM,
-        line,
+        time_line,
         metrics.Metrics(),
-        link,
+        peer_transport,
         stack,
         threading.Event(),
         path,
     )
-    link.start()
+    peer_transport.start()
     return context
 
 
@@ -238,15 +240,15 @@
         ready = role.status().ready and not context.draining.is_set()
         return ("200 OK", b"ready\n") if ready else ("503 Not Ready", b"not ready\n")
     if path == "/metrics":
-        _gauge_transport(context)
+        _update_transport_gauges(context)
         return "200 OK", context.metrics.render()
     return None
 
 
-def _gauge_transport(context):
-    link = context.transport
+def _update_transport_gauges(context):
+    peer_transport = context.transport
     for name in ("bytes_sent", "bytes_received", "dropped", "undecodable"):
-        context.metrics.gauge(f"peer_messages_{name}", getattr(link, name))
+        context.metrics.gauge(f"peer_messages_{name}", getattr(peer_transport, name))
 
 
 def _serve_platform(context, role):
--- a/alderreach/ops/gateway.py
+++ b/alderreach/ops/gateway.py
@@ -27,14 +27,14 @@
 COPY_FILE = "configuration.copy"
 
 
-OWN_MESSAGES = (keeper.KeeperReply, keeper.ItemsPush, keeper.ItemsReplaced)
+KEEPER_MESSAGES = (keeper.KeeperReply, keeper.ItemsPush, keeper.ItemsReplaced)
 
 
 class _Request(typing.NamedTuple):
     """A command for the keepers."""
 
     command: bytes
-    done: typing.Callable
+    on_done: typing.Callable
     timeout_ms: int
 
 
@@ -56,11 +56,11 @@
         keepers.sort(key=lambda peer: (peer.failure_domain != domain, peer.name))
         self._keepers = {peer.name: peer.address for peer in keepers}
         self._follow_order = itertools.cycle(self._keepers.values())
-        self._followed = next(self._follow_order, None)
+        self._followed_keeper = next(self._follow_order, None)
         self._client = keeper_client.KeeperClient(self._keepers, self._transport.send)
         self._queries = {}
         self._copy = self._load()
-        self._heard_ms = None
+        self._last_contact_ms = None
         self._next_follow_ms = 0
         self._next_save_ms = 0
         self._saved_version = self._copy.version
@@ -88,24 +88,25 @@
         """Whether a keeper was heard lately and nothing newer is known of."""
         interval_ms = self._context.settings.timing.follow_interval_ms
         limit_ms = CURRENT_WITHIN_INTERVALS * interval_ms
-        heard_ms = self._heard_ms
-        heard = (
-            heard_ms is not None and self._clock.monotonic_ms() - heard_ms < limit_ms
+        last_contact_ms = self._last_contact_ms
+        is_recent = (
+            last_contact_ms is not None
+            and self._clock.monotonic_ms() - last_contact_ms < limit_ms
         )
-        return heard and self._copy.version >= self._latest_version
+        return is_recent and self._copy.version >= self._latest_version
 
     def deliver(self, received):
         """Take a peer's message meant for the gateway; False if it is for another."""
         message = received.message
-        known = isinstance(message, OWN_MESSAGES)
-        if known or getattr(message, "request_id", None) in self._queries:
+        is_from_keeper = isinstance(message, KEEPER_MESSAGES)
+        if is_from_keeper or getattr(message, "request_id", None) in self._queries:
             self._task.put(received)
             return True
         return False
 
-    def request(self, command, done, timeout_ms):
+    def request(self, command, on_done, timeout_ms):
         """Send a command message; ``done(Outcome)`` is called once, by the gateway."""
-        self._task.put(_Request(codec.pack(command), done, timeout_ms))
+        self._task.put(_Request(codec.pack(command), on_done, timeout_ms))
 
     def ask_keepers(self, command, timeout_ms):
         """Send a command and wait; returns a ``keeper_client.Outcome``."""
@@ -127,12 +128,14 @@
         self._queries.pop(message.request_id, None)
         return reply
 
-    def _handle(self, mail):
-        if isinstance(mail, _Request):
+    def _handle(self, received):
+        if isinstance(received, _Request):
             now_ms = self._clock.monotonic_ms()
-            self._client.request(mail.command, mail.done, now_ms, mail.timeout_ms)
+            self._client.request(
+                received.command, received.on_done, now_ms, received.timeout_ms
+            )
             return
-        message = mail.message
+        message = received.message
         if isinstance(message, keeper.KeeperReply):
             self._client.handle(message, self._clock.monotonic_ms())
         elif isinstance(message, keeper.ItemsPush):
@@ -145,7 +148,7 @@
                 ticket.answer(message)
 
     def _apply(self, apply, message, latest_version):
-        self._heard_ms = self._clock.monotonic_ms()
+        self._last_contact_ms = self._clock.monotonic_ms()
         self._latest_version = max(self._latest_version, latest_version)
         self._copy, changed = apply(self._copy, message)
         if changed:
@@ -170,14 +173,17 @@
     def _follow(self, now_ms):
         interval_ms = self._context.settings.timing.follow_interval_ms
         self._next_follow_ms = now_ms + interval_ms
-        silent = self._heard_ms is None or now_ms - self._heard_ms > 3 * interval_ms
-        if silent:
-            self._followed = next(self._follow_order, None)
-        if self._followed is not None:
+        is_silent = (
+            self._last_contact_ms is None
+            or now_ms - self._last_contact_ms > 3 * interval_ms
+        )
+        if is_silent:
+            self._followed_keeper = next(self._follow_order, None)
+        if self._followed_keeper is not None:
             follow = keeper.Follow(
                 self._copy.version, self._prefixes, self._context.role
             )
-            self._transport.send(self._followed, follow)
+            self._transport.send(self._followed_keeper, follow)
 
     def _path(self):
         return pathlib.Path(self._context.settings.process.data_folder) / COPY_FILE
--- a/alderreach/ops/keeper_client.py
+++ b/alderreach/ops/keeper_client.py
@@ -28,9 +28,9 @@
 class _Pending:
     """A request that has not ended."""
 
-    def __init__(self, command, done, deadline_ms):
+    def __init__(self, command, on_done, deadline_ms):
         self.command = command
-        self.done = done
+        self.on_done = on_done
         self.deadline_ms = deadline_ms
         self.next_send_ms = 0
         self.unanswered = 0
@@ -48,13 +48,13 @@
         self._names = list(addresses)
         self._addresses = dict(addresses)
         self._send = send
-        self._leader = 0
+        self._leader_index = 0
         self._pending = {}
 
-    def request(self, command, done, now_ms, timeout_ms):
+    def request(self, command, on_done, now_ms, timeout_ms):
         """Send a packed command; ``done(Outcome)`` is called once, by the task."""
         request_id = uuid.uuid4().hex
-        self._pending[request_id] = _Pending(command, done, now_ms + timeout_ms)
+        self._pending[request_id] = _Pending(command, on_done, now_ms + timeout_ms)
         self._transmit(request_id, now_ms)
 
     def handle(self, reply, now_ms):
@@ -63,16 +63,16 @@
         if pending is None:
             return
         if reply.status == "ok":
-            self._end(reply.request_id, Outcome("ok", reply.result))
+            self._end_request(reply.request_id, Outcome("ok", reply.result))
             return
         pending.unanswered -= 1
         pending.uncertain = pending.uncertain or reply.status == "uncertain"
-        known = (
+        names_new_leader = (
             reply.leader in self._addresses
-            and reply.leader != self._names[self._leader]
+            and reply.leader != self._names[self._leader_index]
         )
-        self._turn_to(reply.leader)
-        pause_ms = 0 if known else REFUSAL_PAUSE_MS
+        self._switch_leader(reply.leader)
+        pause_ms = 0 if names_new_leader else REFUSAL_PAUSE_MS
         pending.next_send_ms = now_ms + pause_ms
         if pause_ms == 0:
             self._transmit(reply.request_id, now_ms)
@@ -81,10 +81,10 @@
         """Resend what is due and end what is past its deadline."""
         for request_id, pending in list(self._pending.items()):
             if now_ms >= pending.deadline_ms:
-                self._end(request_id, Outcome(_refusal(pending), b""))
+                self._end_request(request_id, Outcome(_timeout_status(pending), b""))
             elif now_ms >= pending.next_send_ms:
                 if pending.unanswered > 0:
-                    self._turn_to("")
+                    self._switch_leader("")
                 self._transmit(request_id, now_ms)
 
     def next_due_ms(self, default_ms):
@@ -100,18 +100,18 @@
         pending.next_send_ms = now_ms + RESEND_MS
         pending.unanswered += 1
         message = keeper.KeeperRequest(request_id, pending.command)
-        self._send(self._addresses[self._names[self._leader]], message)
+        self._send(self._addresses[self._names[self._leader_index]], message)
 
-    def _turn_to(self, name):
+    def _switch_leader(self, name):
         if name in self._addresses:
-            self._leader = self._names.index(name)
+            self._leader_index = self._names.index(name)
         else:
-            self._leader = (self._leader + 1) % len(self._names)
+            self._leader_index = (self._leader_index + 1) % len(self._names)
 
-    def _end(self, request_id, outcome):
-        self._pending.pop(request_id).done(outcome)
+    def _end_request(self, request_id, outcome):
+        self._pending.pop(request_id).on_done(outcome)
 
 
-def _refusal(pending):
-    refused = pending.unanswered <= 0 and not pending.uncertain
-    return "no_quorum" if refused else "uncertain"
+def _timeout_status(pending):
+    all_refused = pending.unanswered <= 0 and not pending.uncertain
+    return "no_quorum" if all_refused else "uncertain"
--- a/alderreach/ops/leader_calls.py
+++ b/alderreach/ops/leader_calls.py
@@ -27,9 +27,9 @@
 ROUND_PAUSE_MS = 60
 # Without any leader a request that surely was not taken is turned away after this, so
 # that its caller can come back when there is one. An election takes a second.
-LEADERLESS_MS = 1500
+MAX_LEADERLESS_MS = 1500
 # Heartbeats that are answered sooner are too many and too alike for a line each.
-SLOW_MS = 200
+SLOW_CALL_MS = 200
 
 
 class Outcome(typing.NamedTuple):
@@ -56,8 +56,8 @@
         self._record = record
         self._lock = threading.Lock()
         self._waiting = {}
-        self._newest_epoch = 0
-        self._hint = ""
+        self._highest_epoch = 0
+        self._leader_hint = ""
 
     def deliver(self, reply):
         """Give a ``cell.CellReply`` to who waits for it."""
@@ -66,12 +66,12 @@
         if ticket is not None:
             ticket.answer(reply)
 
-    def call(self, request, give_up_ms):
+    def call(self, request, deadline_ms):
         """Ask until there is an answer, at the longest until ``give_up_ms``."""
         started_ms = self._clock.monotonic_ms()
-        outcome, attempts = self._call(request, started_ms, give_up_ms)
+        outcome, attempts = self._call(request, started_ms, deadline_ms)
         took_ms = self._clock.monotonic_ms() - started_ms
-        is_routine = isinstance(request, cell.AnnounceTarget) and took_ms < SLOW_MS
+        is_routine = isinstance(request, cell.AnnounceTarget) and took_ms < SLOW_CALL_MS
         if outcome.answer is None or not is_routine:
             self._record(
                 "request_answered",
@@ -82,35 +82,35 @@
                 may_have_acted=outcome.may_have_acted,
                 attempts=attempts,
                 took_ms=took_ms,
-                patience_ms=give_up_ms - started_ms,
-                epoch=self._newest_epoch,
+                patience_ms=deadline_ms - started_ms,
+                epoch=self._highest_epoch,
             )
         return outcome
 
-    def _call(self, request, started_ms, give_up_ms):
+    def _call(self, request, started_ms, deadline_ms):
         """Returns the Outcome and how many attempts it took."""
         payload = codec.pack(request)
         may_have_acted = False
         attempts = 0
         tried = set()
-        while (left_ms := give_up_ms - self._clock.monotonic_ms()) > 0:
+        while (remaining_ms := deadline_ms - self._clock.monotonic_ms()) > 0:
             if self._is_isolated():
                 break
             address = self._next_address(tried)
             if address is None:
                 waited_ms = self._clock.monotonic_ms() - started_ms
-                if waited_ms >= LEADERLESS_MS and not may_have_acted:
+                if waited_ms >= MAX_LEADERLESS_MS and not may_have_acted:
                     break
                 tried.clear()
-                time.sleep(min(ROUND_PAUSE_MS, left_ms) / 1000)
+                time.sleep(min(ROUND_PAUSE_MS, remaining_ms) / 1000)
                 continue
             tried.add(address)
             attempts += 1
-            reply = self._attempt(address, payload, min(ATTEMPT_MS, left_ms))
+            reply = self._attempt(address, payload, min(ATTEMPT_MS, remaining_ms))
             if reply is None:
                 may_have_acted = True
-                self._hint = ""
-            elif reply.status == "answered" and self._is_newest(reply.epoch):
+                self._leader_hint = ""
+            elif reply.status == "answered" and self._accept_epoch(reply.epoch):
                 return Outcome(codec.unpack(reply.payload).unwrap(), True), attempts
             elif reply.status == "answered":
                 may_have_acted = True
@@ -119,14 +119,14 @@
         return Outcome(None, may_have_acted), attempts
 
     def _next_address(self, tried):
-        for address in (self._hint, *self._addresses()):
+        for address in (self._leader_hint, *self._addresses()):
             if address and address not in tried:
                 return address
         return None
 
-    def _follow_hint(self, leader, asked, tried):
+    def _follow_hint(self, leader, address, tried):
         """Go where a controller says the leader is, unless that one just denied it."""
-        self._hint = leader if leader != asked and leader not in tried else ""
+        self._leader_hint = leader if leader != address and leader not in tried else ""
 
     def _attempt(self, address, payload, wait_ms):
         request_id = f"{self._prefix}/{next(self._numbers)}"
@@ -139,9 +139,9 @@
             self._waiting.pop(request_id, None)
         return reply
 
-    def _is_newest(self, epoch):
+    def _accept_epoch(self, epoch):
         with self._lock:
-            if epoch < self._newest_epoch:
+            if epoch < self._highest_epoch:
                 return False
-            self._newest_epoch = epoch
+            self._highest_epoch = epoch
             return True
--- a/alderreach/ops/placer/announcing.py
+++ b/alderreach/ops/placer/announcing.py
@@ -9,11 +9,11 @@
 from alderreach.ops import target_wire
 from alderreach.utils import http_server, tasks
 
-PREFIX = "/v1/targets/"
-SUFFIX = "/announce"
+PATH_PREFIX = "/v1/targets/"
+PATH_SUFFIX = "/announce"
 HTTP_THREADS = 16
 ANSWER_WAIT_MS = 1000
-REASONS = {
+STATUS_LINES = {
     200: "200 OK",
     400: "400 Bad Request",
     404: "404 Not Found",
@@ -41,16 +41,21 @@
 
 def problem(status, title, detail):
     """Return a problem document."""
-    told = {"type": "about:blank", "title": title, "status": status, "detail": detail}
-    return Answer(status, msgspec.json.encode(told), "application/problem+json")
+    document = {
+        "type": "about:blank",
+        "title": title,
+        "status": status,
+        "detail": detail,
+    }
+    return Answer(status, msgspec.json.encode(document), "application/problem+json")
 
 
-def make_application(failure_domain, put, body_bytes):
-    """Return the callable; ``put(AnnouncementRequest)`` hands an announcement to the task."""
+def make_application(failure_domain, enqueue, body_bytes):
+    """Return the callable; ``enqueue`` sends an AnnouncementRequest to the task."""
 
-    def answer(environ):
+    def handle_request(environ):
         path = environ.get("PATH_INFO", "")
-        if not path.startswith(PREFIX) or not path.endswith(SUFFIX):
+        if not path.startswith(PATH_PREFIX) or not path.endswith(PATH_SUFFIX):
             return problem(404, "Nothing goes by this name", path)
         if environ.get("REQUEST_METHOD") != "POST":
             return problem(405, "This method is not served here", "use POST")
@@ -58,9 +63,9 @@
         if not length.isdigit() or int(length) > body_bytes:
             return problem(413, "The body is larger than allowed", length)
         body = environ["wsgi.input"].read(int(length))
-        return take(path[len(PREFIX) : -len(SUFFIX)], body)
+        return handle_announcement(path[len(PATH_PREFIX) : -len(PATH_SUFFIX)], body)
 
-    def take(target_id, body):
+    def handle_announcement(target_id, body):
         parsed = target_wire.parse_announcement(target_id, body)
         if isinstance(parsed, Err):
             return problem(400, "The request is not well formed", parsed.err_value)
@@ -69,26 +74,26 @@
             detail = f"this placer serves the failure domain {failure_domain}"
             return problem(400, "The request is not well formed", detail)
         ticket = tasks.Ticket()
-        put(AnnouncementRequest(announcement, ticket))
-        told = ticket.wait(ANSWER_WAIT_MS)
-        return told or problem(503, "The placer is busy", "announce again")
+        enqueue(AnnouncementRequest(announcement, ticket))
+        answer = ticket.wait(ANSWER_WAIT_MS)
+        return answer or problem(503, "The placer is busy", "announce again")
 
     def application(environ, start_response):
-        told = answer(environ)
+        answer = handle_request(environ)
         headers = [
-            ("Content-Type", told.content_type),
-            ("Content-Length", str(len(told.body))),
+            ("Content-Type", answer.content_type),
+            ("Content-Length", str(len(answer.body))),
         ]
-        start_response(REASONS[told.status], headers)
-        return [told.body]
+        start_response(STATUS_LINES[answer.status], headers)
+        return [answer.body]
 
     return application
 
 
-def open_listener(settings, put):
+def open_listener(settings, enqueue):
     """Serve announcements on the targets' address; returns the HttpServer."""
     application = make_application(
-        settings.process.failure_domain, put, settings.limits.body_bytes
+        settings.process.failure_domain, enqueue, settings.limits.body_bytes
     )
     limits = http_server.HttpLimits(
         HTTP_THREADS,
--- a/alderreach/ops/placer/commands.py
+++ b/alderreach/ops/placer/commands.py
@@ -1,7 +1,7 @@
 """When which command goes to which worker: one batch a worker under way, resent.
 
 A command that no answer came for is sent again: workers take a repeated run as known.
-Commands are made at the last moment, so that a task whose fate changed while its
+Commands are batches at the last moment, so that a task whose fate changed while its
 command waited gets the newer command, or none.
 """
 
@@ -18,12 +18,12 @@
 class Commands:
     """Commands of one owner; ``lapse_ms`` is how long an unanswered run may arrive."""
 
-    def __init__(self, epoch, placements, members, jobs, lapse_ms):
+    def __init__(self, epoch, placements, members, jobs, lease_expiry_ms):
         self._epoch = epoch
         self._placements = placements
         self._members = members
         self._jobs = jobs
-        self._lapse_ms = lapse_ms
+        self._lease_expiry_ms = lease_expiry_ms
         self._due = []
         self._due_count = 0
         self._outgoing = {}
@@ -76,27 +76,27 @@
             *(w for w in self._strays if w not in self._outgoing),
         ]
         ready = [worker_id for worker_id in waiting if worker_id not in self._in_flight]
-        made = [self._batch(worker_id) for worker_id in ready]
-        return [batch for batch in made if batch is not None]
+        batches = [self._make_batch(worker_id) for worker_id in ready]
+        return [batch for batch in batches if batch is not None]
 
-    def _batch(self, worker_id):
+    def _make_batch(self, worker_id):
         target = self._members.targets.get(worker_id)
-        commands = self._take(worker_id)
+        commands = self._pop_commands(worker_id)
         if target is None or not commands:
             return None
         self._in_flight.add(worker_id)
-        told = target.announced
+        announcement = target.announced
         return target_wire.Batch(
             worker_id,
-            told.address,
-            told.boot_id,
+            announcement.address,
+            announcement.boot_id,
             self._epoch,
-            told.sequence,
+            announcement.sequence,
             tuple(commands),
         )
 
-    def _take(self, worker_id):
-        """Take the worker's commands off the queue, made as of now."""
+    def _pop_commands(self, worker_id):
+        """Take the worker's commands off the queue, batches as of now."""
         commands = [
             target_wire.end_command("stop", task_id, attempt, STOP_GRACE_MS)
             for task_id, attempt in self._strays.pop(worker_id, ())
@@ -105,12 +105,12 @@
         for task_id in list(queue)[:COMMANDS_PER_BATCH]:
             placement = queue.pop(task_id)
             if self._placements.is_current(placement):
-                commands += self._command(placement)
+                commands += self._make_commands(placement)
         if not queue:
             self._outgoing.pop(worker_id, None)
         return commands
 
-    def _command(self, placement):
+    def _make_commands(self, placement):
         record = placement.record
         if placement.state == "starting" and not placement.refused:
             state = self._jobs[record.job_id]
@@ -123,23 +123,25 @@
                 placement.end_command, record.task_id, record.attempt, STOP_GRACE_MS
             )
 
-    def answered(self, result, now_ms):
+    def match_answers(self, result, now_ms):
         """Take a BatchResult; yields (placement, command, CommandResult) of answers."""
         batch = result.batch
         self._in_flight.discard(batch.worker_id)
-        told = {(r.task_id, r.attempt): r for r in result.results}
+        answers = {(r.task_id, r.attempt): r for r in result.results}
         for command in batch.commands:
             placement = self._placements.by_task.get(command["task_id"])
             if placement is None or placement.record.attempt != command["attempt"]:
                 continue
-            answer = told.get(placement.key)
+            answer = answers.get(placement.key)
             if answer is None:
-                self._unanswered(placement, command, result.status, now_ms)
+                self._retry_unanswered(placement, command, result.status, now_ms)
             else:
                 yield placement, command["command"], answer
 
-    def _unanswered(self, placement, command, status, now_ms):
+    def _retry_unanswered(self, placement, command, status, now_ms):
         if status in ("uncertain", "answered") and command["command"] == "run":
-            placement.may_start_until_ms = now_ms + self._lapse_ms
-        soon = status in ("unsent", "late")
-        self.push_due(placement, now_ms + (UNSENT_RETRY_MS if soon else RESEND_MS))
+            placement.may_start_until_ms = now_ms + self._lease_expiry_ms
+        is_quick_retry = status in ("unsent", "late")
+        self.push_due(
+            placement, now_ms + (UNSENT_RETRY_MS if is_quick_retry else RESEND_MS)
+        )
--- a/alderreach/ops/placer/item_writer.py
+++ b/alderreach/ops/placer/item_writer.py
@@ -19,13 +19,13 @@
 RETRY_MS = 300
 
 
-class _Written(typing.NamedTuple):
+class _PendingWrite(typing.NamedTuple):
     """One key of the batch under way."""
 
     key: str
     value: bytes | None
     make: typing.Callable
-    durable: typing.Callable | None
+    on_durable: typing.Callable | None
 
 
 class ItemWriter:
@@ -41,7 +41,7 @@
         self._epoch = epoch
         self._versions = dict(versions)
         self._makers = {}
-        self._written = None
+        self._in_flight = None
         self._next_ms = 0
         self.failing = False
 
@@ -49,65 +49,65 @@
         """Have an item written with what ``make`` gives by then."""
         self._makers.setdefault(key, make)
 
-    def saw(self, item):
+    def record_version(self, item):
         """Note the version of an item that another wrote, so that it can be deleted."""
-        self._note_version(item.key, item.version if item.value is not None else 0)
+        self._update_version(item.key, item.version if item.value is not None else 0)
 
     @property
     def has_work(self):
         """Whether a batch waits to be sent."""
-        return bool(self._makers) and self._written is None
+        return bool(self._makers) and self._in_flight is None
 
     def next_batch(self, now_ms, wall_ms):
         """Return the WriteItems to send now, or None."""
-        if not self._makers or self._written is not None or now_ms < self._next_ms:
+        if not self._makers or self._in_flight is not None or now_ms < self._next_ms:
             return None
-        self._written = []
+        self._in_flight = []
         for key in list(self._makers)[:BATCH_ITEMS]:
             make = self._makers.pop(key)
-            value, durable = make()
+            value, on_durable = make()
             if value is not None or key in self._versions:
-                self._written.append(_Written(key, value, make, durable))
-        if not self._written:
-            self._written = None
+                self._in_flight.append(_PendingWrite(key, value, make, on_durable))
+        if not self._in_flight:
+            self._in_flight = None
             return None
         writes = [
             keeper.ItemWrite(entry.key, self._versions.get(entry.key, 0), entry.value)
-            for entry in self._written
+            for entry in self._in_flight
         ]
         return keeper.WriteItems(
             "", self._author, writes, self._failure_domain, self._epoch, wall_ms
         )
 
-    def ended(self, outcome, now_ms):
+    def handle_outcome(self, outcome, now_ms):
         """Take the batch's ``keeper_client.Outcome``; returns the write's status.
 
         What may not have been written is written again, with newer values.
         """
-        written, self._written = self._written, None
+        writes_sent, self._in_flight = self._in_flight, None
         result = None
         if outcome.status == "ok":
             result = codec.unpack(outcome.result).unwrap()
         if result is None or result.status != "accepted":
-            self._again(written, result, now_ms)
+            self._requeue(writes_sent, result, now_ms)
             return result.status if result else outcome.status
         self.failing = False
         self._next_ms = now_ms + PAUSE_MS
-        for entry in written:
-            self._note_version(entry.key, result.version if entry.value else 0)
-            if entry.durable is not None:
-                entry.durable()
+        for entry in writes_sent:
+            self._update_version(entry.key, result.version if entry.value else 0)
+            if entry.on_durable is not None:
+                entry.on_durable()
         return result.status
 
-    def _again(self, written, result, now_ms):
+    def _requeue(self, writes_sent, result, now_ms):
         self.failing = result is None
         self._next_ms = now_ms + (RETRY_MS if result is None else PAUSE_MS)
         for conflict in result.conflicts if result else ():
-            self._note_version(conflict.key, conflict.version)
-        for entry in written:
+            self._update_version(conflict.key, conflict.version)
+        for entry in writes_sent:
             self._makers.setdefault(entry.key, entry.make)
 
-    def _note_version(self, key, version):
+    def _update_version(self, key, version):
         if version:
             self._versions[key] = version
         else:
--- a/alderreach/ops/placer/items.py
+++ b/alderreach/ops/placer/items.py
@@ -8,7 +8,7 @@
 from alderreach.core.generated import common, placer
 from alderreach.ops.placer import jobs
 
-RETENTION_MS = 3_600_000
+JOB_RETENTION_MS = 3_600_000
 SHARED_PREFIXES = ("team/", "workload/", "maintenance/", "owner/", "target/")
 
 
@@ -32,7 +32,7 @@
         self._versions = {}
         self._services = {}
         self.windows = {}
-        self.words = {}
+        self.death_declarations = {}
 
     def load(self, items, now_ms):
         """Apply all items at takeover; returns the WorkerPlacements among them."""
@@ -41,10 +41,10 @@
             by_kind.setdefault(item.key.partition("/")[0], []).append(item)
         for kind in ("team", "maintenance", "target"):
             for item in by_kind.get(kind, ()):
-                self.change(item, now_ms)
+                self.apply(item, now_ms)
         self._load_jobs(by_kind, now_ms)
         for item in by_kind.get("workload", ()):
-            self.change(item, now_ms)
+            self.apply(item, now_ms)
         return [
             codec.decode(item.value, placer.WorkerPlacements)
             for item in by_kind.get("placed", ())
@@ -74,33 +74,33 @@
         for state in states.values():
             self._placing.submit(state, now_ms)
 
-    def change(self, item, now_ms):
+    def apply(self, item, now_ms):
         """Apply one item unless it, or a newer version, was applied before."""
         if item.version <= self._versions.get(item.key, -1):
             return
         self._versions[item.key] = item.version
         kind = item.key.partition("/")[0]
         if kind == "team":
-            self._change_team(item)
+            self._apply_team(item)
         elif kind == "workload":
-            self._change_workload(item, now_ms)
+            self._apply_workload(item, now_ms)
         elif kind == "maintenance":
-            self._change_window(item)
+            self._apply_window(item)
         elif kind == "target":
-            self._change_word(item, now_ms)
+            self._apply_death_declaration(item, now_ms)
         elif kind == "job":
-            self._change_job(item, now_ms)
+            self._apply_job(item, now_ms)
         elif kind == "cancel" and item.value is not None:
             self._placing.cancel(_name(item), now_ms)
 
-    def _change_team(self, item):
+    def _apply_team(self, item):
         scheduler = self._placing.scheduler
         if item.value is None:
             scheduler.remove_team(_name(item))
         else:
             scheduler.set_team(codec.decode(item.value, common.Team))
 
-    def _change_workload(self, item, now_ms):
+    def _apply_workload(self, item, now_ms):
         """Run this domain's share of a service; a changed one replaces the old."""
         before = self._services.get(item.key)
         workload = None
@@ -128,20 +128,20 @@
             return None
         return jobs.service_job(workload, domain, tasks)
 
-    def _change_window(self, item):
+    def _apply_window(self, item):
         if item.value is None:
             self.windows.pop(item.key, None)
         else:
             self.windows[item.key] = codec.decode(item.value, common.MaintenanceWindow)
 
-    def _change_word(self, item, now_ms):
+    def _apply_death_declaration(self, item, now_ms):
         """Note an operator's word that a target is dead, and when it was noted."""
         if item.value is None:
-            self.words.pop(_name(item), None)
+            self.death_declarations.pop(_name(item), None)
         else:
-            self.words[_name(item)] = now_ms
+            self.death_declarations[_name(item)] = now_ms
 
-    def _change_job(self, item, now_ms):
+    def _apply_job(self, item, now_ms):
         job_id = _name(item)
         if item.value is None:
             if not self._placing.placements.of_job(job_id):
@@ -150,27 +150,27 @@
         if job_id not in self._placing.jobs:
             state = jobs.JobState(codec.decode(item.value, common.Job))
             self._placing.submit(state, now_ms)
-            self._placing.note("job_taken", job_id=job_id, team=state.job.team)
+            self._placing.record_event("job_taken", job_id=job_id, team=state.job.team)
             domain = self._placing.failure_domain
             if f"cancel/{domain}/{job_id}" in self._versions:
                 self._placing.cancel(job_id, now_ms)
 
-    def apply_words(self, now_ms):
+    def apply_death_declarations(self, now_ms):
         """Give up silent targets that an operator declared dead.
 
         A word is about the silence at that time: it is deleted once it was followed,
         or if the target is heard, so that it can't hit the target's next silence. A
         target that is not silent for long enough yet keeps the word waiting.
         """
-        for target_id, noted_ms in list(self.words.items()):
+        for target_id, received_ms in list(self.death_declarations.items()):
             target = self._placing.members.targets.get(target_id)
             if target is not None:
-                heard = target.reported and target.last_contact_ms > noted_ms
-                if not heard and target.state not in ("suspect", "dead"):
+                has_responded = target.reported and target.last_contact_ms > received_ms
+                if not has_responded and target.state not in ("suspect", "dead"):
                     continue
-                if not heard:
+                if not has_responded:
                     self._placing.declare_dead(target_id, now_ms)
-            del self.words[target_id]
+            del self.death_declarations[target_id]
             self._placing.ledger.delete(f"target/{target_id}")
 
     def drop_old_jobs(self, wall_ms):
@@ -179,7 +179,7 @@
         for job_id, state in list(self._placing.jobs.items()):
             if not state.final_durable or state.is_service:
                 continue
-            if wall_ms - state.status.updated_wall_ms > RETENTION_MS:
+            if wall_ms - state.status.updated_wall_ms > JOB_RETENTION_MS:
                 for kind in ("job", "cancel", "done", "lost", "status"):
                     self._placing.ledger.delete(f"{kind}/{domain}/{job_id}")
                 del self._placing.jobs[job_id]
--- a/alderreach/ops/placer/jobs.py
+++ b/alderreach/ops/placer/jobs.py
@@ -26,7 +26,7 @@
         self.finished = set()
         self.failed = set()
         self.losses = {}
-        self.durable = frozenset()
+        self.durable_finished = frozenset()
         self.attempts = {}
         self.cancelled = False
         self.status = None
@@ -83,10 +83,10 @@
 
 def load_ended(state, value):
     """Take an EndedTasks item read from the keepers."""
-    told = codec.decode(value, placer.EndedTasks)
-    state.finished |= from_ranges(told.finished)
-    state.failed |= from_ranges(told.failed)
-    state.durable = frozenset(state.finished)
+    item = codec.decode(value, placer.EndedTasks)
+    state.finished |= from_ranges(item.finished)
+    state.failed |= from_ranges(item.failed)
+    state.durable_finished = frozenset(state.finished)
 
 
 def lost_item(state):
@@ -143,5 +143,5 @@
     if home:
         return workload.tasks if home == failure_domain else 0
     order = sorted(failure_domains)
-    each, rest = divmod(workload.tasks, len(order))
-    return each + (order.index(failure_domain) < rest)
+    share, remainder = divmod(workload.tasks, len(order))
+    return share + (order.index(failure_domain) < remainder)
--- a/alderreach/ops/placer/ledger.py
+++ b/alderreach/ops/placer/ledger.py
@@ -23,31 +23,31 @@
         self._members = members
         self._mark_item = mark_item
         self._make_status = make_status
-        self._held_at_keepers = {}
-        self._standby_alive = True
+        self._keeper_sequences = {}
+        self._has_standby = True
         self._runner_views = 0
 
     # ---- records
 
-    def note_placement(self, placement):
+    def record_placement(self, placement):
         """Record a new placement."""
         record = placement.record
         placement.record_sequence = self.log.put("placement", record.task_id, record)
         self._mark_worker(record)
 
-    def note_end(self, record):
+    def record_end(self, record):
         """Record how an attempt ended; a finish until the keepers hold it too."""
         if record.outcome != "finished":
             record = record._replace(outcome=records.DELETED)
         self.log.put("placement", record.task_id, record)
         self._mark_worker(record)
 
-    def note_worker(self, told, gone=False):
+    def record_worker(self, announcement, gone=False):
         """Record a worker as it announced itself, or that it is forgotten."""
-        record = target_membership.worker_record(told, gone)
-        self.log.put("worker", told.target_id, record)
+        record = target_membership.worker_record(announcement, gone)
+        self.log.put("worker", announcement.target_id, record)
 
-    def note_runners(self):
+    def record_runners(self):
         """Record what entries are told of runners."""
         if self._runner_views == self._members.sequence:
             return
@@ -56,23 +56,23 @@
         for view in views:
             self.log.put("runner", view.runner_id, view)
 
-    def set_standby(self, alive, acked):
+    def set_standby(self, has_standby, acked):
         """Take in whether a standby lives and what it holds.
 
         Without one the keepers must hold what only it held.
         """
-        if self._standby_alive and not alive:
+        if self._has_standby and not has_standby:
             for worker_id in self._placed.workers():
                 self._mark_item_of(worker_id)
-        self._standby_alive = alive
-        self.log.trim(acked if alive else self.log.sequence)
+        self._has_standby = has_standby
+        self.log.trim(acked if has_standby else self.log.sequence)
 
     def is_safe(self, placement, acked, keepers_failing):
         """Whether the loss of this process would not lose the placement."""
         sequence = placement.record_sequence
-        if sequence <= self._held_at_keepers.get(placement.record.worker_id, 0):
+        if sequence <= self._keeper_sequences.get(placement.record.worker_id, 0):
             return True
-        if not self._standby_alive or sequence > acked:
+        if not self._has_standby or sequence > acked:
             return False
         return placement.record.when_cut_off == "move" or keepers_failing
 
@@ -90,14 +90,14 @@
         def make():
             finished = frozenset(state.finished)
 
-            def durable():
-                self._settle(state, finished)
+            def on_durable():
+                self._on_finished_durable(state, finished)
 
-            return jobs.ended_item(state), durable
+            return jobs.ended_item(state), on_durable
 
         self._mark_item(f"done/{self._failure_domain}/{state.job.job_id}", make)
 
-    def note_losses(self, state, losses):
+    def record_losses(self, state, losses):
         """Have the keepers hold how often a job's tasks were lost, for the next owner.
 
         That of a job that is over is empty and not written.
@@ -111,27 +111,27 @@
         """Have an item deleted."""
         self._mark_item(key, lambda: (None, None))
 
-    def _settle(self, state, finished):
-        for number in finished - state.durable:
+    def _on_finished_durable(self, state, finished):
+        for number in finished - state.durable_finished:
             task_id = f"{state.job.job_id}/{number}"
             record = placer.PlacementRecord(
                 task_id, 0, state.job.job_id, "", "", records.DELETED
             )
             self.log.put("placement", task_id, record)
-        state.durable = finished
+        state.durable_finished = finished
 
     def _mark_worker(self, record):
-        if record.when_cut_off == "stay" or not self._standby_alive:
+        if record.when_cut_off == "stay" or not self._has_standby:
             self._mark_item_of(record.worker_id)
 
     def _mark_item_of(self, worker_id):
         def make():
             sequence = self.log.sequence
 
-            def durable():
-                self._held_at_keepers[worker_id] = sequence
+            def on_durable():
+                self._keeper_sequences[worker_id] = sequence
 
-            return self._worker_item(worker_id), durable
+            return self._worker_item(worker_id), on_durable
 
         self._mark_item(f"placed/{self._failure_domain}/{worker_id}", make)
 
--- a/alderreach/ops/placer/ownership_term.py
+++ b/alderreach/ops/placer/ownership_term.py
@@ -20,7 +20,7 @@
 WRITE_TIMEOUT_MS = 3000
 UPKEEP_INTERVAL_MS = 200
 SWEEP_INTERVAL_MS = 10_000
-PUBLISH_HEARTBEATS = 2
+PUBLISH_DELAY_HEARTBEATS = 2
 
 
 class ItemsRead(typing.NamedTuple):
@@ -45,44 +45,44 @@
     ``copy`` the RecordCopy of the predecessor's records.
     """
 
-    def __init__(self, context, gateway, epoch, copy, put):
+    def __init__(self, context, gateway, epoch, copy, enqueue):
         self.epoch = epoch
         self.placing = None
         self.watchers = None
         self._context = context
         self._gateway = gateway
         self._copy = copy
-        self._put = put
+        self._enqueue = enqueue
         self._domain = context.settings.process.failure_domain
         self._pages = {}
         self._items = None
         self._writer = None
         self._acked = {}
-        self._beat_sequence = -1
-        self._leaving_since = {}
+        self._sent_sequence = -1
+        self._leaving_since_ms = {}
         self._next_upkeep_ms = 0
         self._next_sweep_ms = 0
-        self._publish_ms = 0
+        self._publish_from_ms = 0
         for prefix in items.read_prefixes(self._domain):
-            self._read(prefix)
+            self._read_prefix(prefix)
 
     # ---- starting
 
-    def _read(self, prefix):
-        epoch, put = self.epoch, self._put
+    def _read_prefix(self, prefix):
+        epoch, enqueue = self.epoch, self._enqueue
 
-        def done(outcome):
-            put(ItemsRead(epoch, prefix, outcome))
+        def on_done(outcome):
+            enqueue(ItemsRead(epoch, prefix, outcome))
 
-        self._gateway.request(keeper.ReadItems(prefix), done, READ_TIMEOUT_MS)
+        self._gateway.request(keeper.ReadItems(prefix), on_done, READ_TIMEOUT_MS)
 
-    def read(self, mail, now_ms):
+    def handle_page(self, message, now_ms):
         """Take a page; begin once all are there."""
-        if mail.outcome.status != "ok":
-            self._read(mail.prefix)
+        if message.outcome.status != "ok":
+            self._read_prefix(message.prefix)
             return
-        page = codec.unpack(mail.outcome.result).unwrap()
-        self._pages[mail.prefix] = page
+        page = codec.unpack(message.outcome.result).unwrap()
+        self._pages[message.prefix] = page
         if len(self._pages) == len(items.read_prefixes(self._domain)):
             self._begin(now_ms)
 
@@ -93,7 +93,7 @@
         shared = [
             item
             for item in self._gateway.items.items.values()
-            if item.key not in versions and self._is_news(item)
+            if item.key not in versions and self._is_newer_than_page(item)
         ]
         versions |= {item.key: item.version for item in shared}
         self._writer = item_writer.ItemWriter(
@@ -117,10 +117,14 @@
             self._domain, self.epoch, self.placing.members, self._context.transport.send
         )
         if self.epoch > 1 and not self.placing.members.runners():
-            self._publish_ms = now_ms + PUBLISH_HEARTBEATS * timing.target_heartbeat_ms
-        self.placing.note("takeover_done", detail=f"{len(placed)} workers with items")
+            self._publish_from_ms = (
+                now_ms + PUBLISH_DELAY_HEARTBEATS * timing.target_heartbeat_ms
+            )
+        self.placing.record_event(
+            "takeover_done", detail=f"{len(placed)} workers with items"
+        )
 
-    def _is_news(self, item):
+    def _is_newer_than_page(self, item):
         """Whether an item of the gateway's copy counts beside the pages just read.
 
         One that a page of its prefix does not list was deleted, unless it is newer
@@ -131,34 +135,34 @@
         return page is None or item.version > page.version
 
     @property
-    def begun(self):
+    def has_begun(self):
         """Whether the items are read and the placing runs."""
         return self.placing is not None
 
     def records(self):
         """Return what the next owner must know, as a RecordCopy."""
-        if not self.begun:
+        if not self.has_begun:
             return self._copy
         return records.copy_from_log(self.placing.ledger.log, self.epoch)
 
     # ---- messages
 
-    def announce(self, told, now_ms):
+    def announce(self, announcement, now_ms):
         """Take an announcement; returns the acknowledged task ids."""
-        return self.placing.announce(told, now_ms)
+        return self.placing.announce(announcement, now_ms)
 
-    def items_changed(self, changed, now_ms):
+    def apply_items(self, changed, now_ms):
         """Apply pushed items; before the beginning they are in the gateway's copy."""
-        if self.begun:
+        if self.has_begun:
             for item in changed:
-                self._writer.saw(item)
-                self._items.change(item, now_ms)
+                self._writer.record_version(item)
+                self._items.apply(item, now_ms)
 
-    def written(self, mail, now_ms):
+    def handle_write_result(self, message, now_ms):
         """Take the end of a batch of writes; True if it shows that we are deposed."""
-        return self._writer.ended(mail.outcome, now_ms) == "stale_epoch"
+        return self._writer.handle_outcome(message.outcome, now_ms) == "stale_epoch"
 
-    def promised(self, standby, promise):
+    def record_promise(self, standby, promise):
         """Note up to which record a standby holds all."""
         if promise.epoch == self.epoch:
             self._acked[standby] = promise.record_sequence
@@ -177,7 +181,7 @@
 
     def tick(self, now_ms, standbys):
         """Decide and publish; returns the batches to send to workers."""
-        if not self.begun:
+        if not self.has_begun:
             return []
         acked = min((self._acked.get(name, 0) for name in standbys), default=0)
         self.placing.tick(now_ms, acked, bool(standbys), self._writer.failing)
@@ -187,61 +191,61 @@
         return self.placing.commands.batches()
 
     def _publish(self, now_ms):
-        if not self.watchers.published and now_ms >= self._publish_ms:
+        if not self.watchers.published and now_ms >= self._publish_from_ms:
             peers = self._context.settings.peers
             entries = [peer.address for peer in peers if peer.role == "entry"]
-            self.watchers.introduce(entries, now_ms)
+            self.watchers.publish(entries, now_ms)
         self.watchers.push(now_ms)
 
     def _upkeep(self, now_ms):
         if now_ms < self._next_upkeep_ms:
             return
         self._next_upkeep_ms = now_ms + UPKEEP_INTERVAL_MS
-        self._items.apply_words(now_ms)
+        self._items.apply_death_declarations(now_ms)
         windows = list(self._items.windows.values())
         wall_ms = self._context.clock.wall_ms()
         upkeep.apply_windows(
-            self.placing, windows, wall_ms, now_ms, self._leaving_since
+            self.placing, windows, wall_ms, now_ms, self._leaving_since_ms
         )
         if now_ms >= self._next_sweep_ms:
             self._next_sweep_ms = now_ms + SWEEP_INTERVAL_MS
             self._items.drop_old_jobs(wall_ms)
-            self.placing.forget_dead(now_ms)
+            self.placing.remove_dead_targets(now_ms)
 
     def _write(self, now_ms):
         batch = self._writer.next_batch(now_ms, self._context.clock.wall_ms())
         if batch is None:
             return
-        epoch, put = self.epoch, self._put
+        epoch, enqueue = self.epoch, self._enqueue
 
-        def done(outcome):
-            put(ItemsWritten(epoch, outcome))
+        def on_done(outcome):
+            enqueue(ItemsWritten(epoch, outcome))
 
-        self._gateway.request(batch, done, WRITE_TIMEOUT_MS)
+        self._gateway.request(batch, on_done, WRITE_TIMEOUT_MS)
 
     def has_work(self, until_ms):
         """Whether a tick before then would have something to do."""
-        if not self.begun:
+        if not self.has_begun:
             return False
         return self._writer.has_work or self.placing.has_work(until_ms)
 
     # ---- beats
 
     @property
-    def has_news(self):
+    def has_unsent_records(self):
         """Whether there are records no beat has carried yet."""
-        return self.begun and self.placing.ledger.log.sequence > self._beat_sequence
+        return self.has_begun and self.placing.ledger.log.sequence > self._sent_sequence
 
-    def beat(self, standby, now_ms, handover=False):
+    def make_beat(self, standby, now_ms, handover=False):
         """Return the OwnerBeat for a standby, with the records it lacks."""
-        if not self.begun:
+        if not self.has_begun:
             # Records would seem complete while they are not: a standby with none at
             # all waits, if it takes over now, until everything has lapsed.
             return placer.OwnerBeat(
                 self._domain, self.epoch, now_ms, 1, 1, [], [], [], handover
             )
         changes = self.placing.ledger.log.changes_since(self._acked.get(standby, 0))
-        self._beat_sequence = changes.sequence
+        self._sent_sequence = changes.sequence
         return placer.OwnerBeat(
             self._domain,
             self.epoch,
--- a/alderreach/ops/placer/reports.py
+++ b/alderreach/ops/placer/reports.py
@@ -8,49 +8,51 @@
 from alderreach.ops.placer import jobs
 
 
-def take_running(placing, told, task, now_ms):
+def handle_running_task(placing, announcement, task, now_ms):
     """A worker reports a running task: expected, to be adopted, or astray."""
     placement = placing.placements.by_task.get(task.task_id)
-    if placement is not None and _is_at(placement, told, task):
+    if placement is not None and _is_same_attempt(placement, announcement, task):
         placement.reported = True
-        placing.started(placement, now_ms)
+        placing.on_task_started(placement, now_ms)
         return
     state = placing.jobs.get(jobs.job_of(task.task_id))
     if state is None:
-        placing.add_orphan(told.target_id, task.task_id)
+        placing.add_orphan(announcement.target_id, task.task_id)
         if task.task_id.startswith(jobs.SERVICE_PREFIX):
             # The service was deleted or changed while the domain had no owner.
-            placing.commands.stop_stray(told.target_id, task.task_id, task.attempt)
+            placing.commands.stop_stray(
+                announcement.target_id, task.task_id, task.attempt
+            )
         return
-    ended = state.is_final or jobs.number_of(task.task_id) in state.finished
-    unsent = placement is not None and placement.state == "starting"
-    if unsent and not placement.sent and not ended:
-        placing.end(placement, "stopped", now_ms)
+    is_ended = state.is_final or jobs.number_of(task.task_id) in state.finished
+    is_unsent = placement is not None and placement.state == "starting"
+    if is_unsent and not placement.sent and not is_ended:
+        placing.end_attempt(placement, "stopped", now_ms)
         placement = None
-    if ended or placement is not None:
-        placing.add_orphan(told.target_id, task.task_id)
-        placing.commands.stop_stray(told.target_id, task.task_id, task.attempt)
+    if is_ended or placement is not None:
+        placing.add_orphan(announcement.target_id, task.task_id)
+        placing.commands.stop_stray(announcement.target_id, task.task_id, task.attempt)
         return
-    placing.adopt(told, task, state, now_ms)
+    placing.adopt(announcement, task, state, now_ms)
 
 
-def _is_at(placement, told, task):
+def _is_same_attempt(placement, announcement, task):
     record = placement.record
-    return record.attempt == task.attempt and record.worker_id == told.target_id
+    return record.attempt == task.attempt and record.worker_id == announcement.target_id
 
 
-def take_ended(placing, told, task, now_ms):
+def handle_ended_task(placing, announcement, task, now_ms):
     """A worker reports an ended task; returns whether it may forget the attempt.
 
     A finish may be forgotten once the keepers hold it: else a takeover would run the
     task again. No attempt may be while a copy of its run can still arrive.
     """
     placement = placing.placements.by_task.get(task.task_id)
-    if placement is not None and _is_at(placement, told, task):
-        placing.end(placement, _outcome(placement, task.state), now_ms)
+    if placement is not None and _is_same_attempt(placement, announcement, task):
+        placing.end_attempt(placement, _outcome(placement, task.state), now_ms)
         placement = None
     key = (task.task_id, task.attempt)
-    if placing.is_loose(key, now_ms):
+    if placing.may_run_arrive(key, now_ms):
         return False
     state = placing.jobs.get(jobs.job_of(task.task_id))
     if state is None:
@@ -61,8 +63,8 @@
     if number not in state.finished:
         if placement is not None:
             return True
-        placing.finish(state, number, now_ms)
-    return number in state.durable
+        placing.record_finish(state, number, now_ms)
+    return number in state.durable_finished
 
 
 def _outcome(placement, reported_state):
@@ -72,26 +74,26 @@
     return reported_state
 
 
-def take_missing(placing, placement, now_ms):
+def handle_missing_task(placing, placement, now_ms):
     """A worker that knows this epoch does not list a task it is held to run."""
     if now_ms < placement.may_start_until_ms:
         return
     if placement.state == "held":
-        placing.end(placement, "stopped", now_ms)
+        placing.end_attempt(placement, "stopped", now_ms)
     elif placement.state == "running":
         if placement.reported:
-            placing.end(placement, "stopped", now_ms)
-        elif now_ms - placement.accepted_ms > placing.lapse_ms:
+            placing.end_attempt(placement, "stopped", now_ms)
+        elif now_ms - placement.accepted_ms > placing.lease_expiry_ms:
             placing.stop(placement, "stop", "stopped", now_ms)
     elif placement.state == "stopping":
         if placement.reported or not placement.sent:
-            placing.end(placement, placement.outcome, now_ms)
+            placing.end_attempt(placement, placement.outcome, now_ms)
 
 
-def take_answer(placing, placement, command, answer, now_ms):
+def handle_command_answer(placing, placement, command, answer, now_ms):
     """A worker answered one command."""
     if command == "run":
-        _take_run_answer(placing, placement, answer, now_ms)
+        _handle_run_answer(placing, placement, answer, now_ms)
         return
     if not answer.accepted:
         if command == "checkpoint":
@@ -101,12 +103,12 @@
     placing.commands.push_due(placement, now_ms + placing.timing.target_heartbeat_ms)
 
 
-def _take_run_answer(placing, placement, answer, now_ms):
+def _handle_run_answer(placing, placement, answer, now_ms):
     if answer.accepted:
-        placing.started(placement, now_ms)
+        placing.on_task_started(placement, now_ms)
         return
     if placement.state != "starting":
         return
     placement.refused = True
-    placing.note_task("task_refused", placement.record, answer.reason)
+    placing.record_task_event("task_refused", placement.record, answer.reason)
     placing.commands.push_due(placement, max(now_ms, placement.may_start_until_ms))
--- a/alderreach/ops/placer/sender.py
+++ b/alderreach/ops/placer/sender.py
@@ -21,10 +21,10 @@
     ``done(BatchResult)`` is called on a sender's thread.
     """
 
-    def __init__(self, lease, clock, done, threads=THREADS):
+    def __init__(self, lease, clock, on_result, threads=THREADS):
         self._lease = lease
         self._clock = clock
-        self._done = done
+        self._on_result = on_result
         self._queue = queue.SimpleQueue()
         self._client = target_wire.WorkerClient()
         self._threads = [
@@ -56,7 +56,7 @@
             batch = self._queue.get()
             if batch is STOP:
                 return
-            self._done(self._send(batch))
+            self._on_result(self._send(batch))
 
     def _send(self, batch):
         if not self._lease().covers(batch.epoch, self._clock.monotonic_ms()):
--- a/alderreach/ops/placer/status.py
+++ b/alderreach/ops/placer/status.py
@@ -5,20 +5,25 @@
 from alderreach.decisions import maintenance
 
 NOTHING = common.Resources(0, 0, 0)
-NAMED_TASKS = 3
+MAX_NAMED_TASKS = 3
 
 
-def current(placing, state, wall_ms=0):
+def current_status(placing, state, wall_ms=0):
     """Return a job's JobStatus as it stands."""
     if state.is_final:
         return state.status
     job_id, tasks = state.job.job_id, state.job.tasks
     placed = placing.placements.of_job(job_id)
     running = sum(p.state != "starting" for p in placed)
-    told = placing.scheduler.job_status(job_id)
-    finished, failed = len(state.finished), told.failed if told else 0
-    name, reason = "waiting", told.reason if told else ""
-    if told and told.state == "impossible" and not placed and not state.cancelled:
+    job_progress = placing.scheduler.job_status(job_id)
+    finished, failed = len(state.finished), job_progress.failed if job_progress else 0
+    name, reason = "waiting", job_progress.reason if job_progress else ""
+    if (
+        job_progress
+        and job_progress.state == "impossible"
+        and not placed
+        and not state.cancelled
+    ):
         name = "impossible"
     elif finished >= tasks:
         name, reason = "finished", ""
@@ -35,7 +40,7 @@
 
 def make_item(placing, state):
     """Return the status item's value for ``item_writer.ItemWriter.mark``."""
-    state.status = current(placing, state, placing.wall_ms())
+    state.status = current_status(placing, state, placing.wall_ms())
 
     def durable():
         state.final_durable = state.is_final
@@ -58,12 +63,12 @@
         states = [placing.jobs[query.job_id]] if query.job_id in placing.jobs else []
     else:
         states = list(placing.jobs.values())
-    statuses = [current(placing, state, placing.wall_ms()) for state in states]
-    tasks = _tasks(placing, states[0]) if query.job_id and states else []
+    statuses = [current_status(placing, state, placing.wall_ms()) for state in states]
+    tasks = _task_views(placing, states[0]) if query.job_id and states else []
     return placer.JobReply(query.request_id, True, statuses, tasks)
 
 
-def _tasks(placing, state):
+def _task_views(placing, state):
     views = []
     for number in range(state.job.tasks):
         task_id = f"{state.job.job_id}/{number}"
@@ -93,36 +98,38 @@
 
 def target_row(placing, target, windows, wall_ms):
     """Return one target's row for people."""
-    told = target.announced
-    held = placing.placements.on_worker(told.target_id)
+    announcement = target.announced
+    held = placing.placements.on_worker(announcement.target_id)
     reserved = common.Resources(
         *(sum(kind) for kind in zip(NOTHING, *(p.task for p in held), strict=True))
     )
-    tasks = len(held) if told.kind == "worker" else told.slots
+    tasks = len(held) if announcement.kind == "worker" else announcement.slots
     state = target.state
-    quarantined = placing.scheduler.worker_state(told.target_id) == "quarantined"
+    quarantined = (
+        placing.scheduler.worker_state(announcement.target_id) == "quarantined"
+    )
     if state == "ready" and quarantined:
         state = "quarantined"
-    note = _note(placing, target, held, windows, wall_ms, quarantined)
+    note = _describe_state(placing, target, held, windows, wall_ms, quarantined)
     return placer.TargetRow(
-        told.target_id,
-        told.kind,
-        told.vm,
-        told.rack,
-        told.failure_domain,
+        announcement.target_id,
+        announcement.kind,
+        announcement.vm,
+        announcement.rack,
+        announcement.failure_domain,
         state,
-        told.capacity,
+        announcement.capacity,
         reserved,
         tasks,
         note,
     )
 
 
-def _note(placing, target, held, windows, wall_ms, quarantined):
-    told = target.announced
-    phase = maintenance.phase_of(windows, told.vm, told.rack, wall_ms)
+def _describe_state(placing, target, held, windows, wall_ms, quarantined):
+    announcement = target.announced
+    phase = maintenance.phase_of(windows, announcement.vm, announcement.rack, wall_ms)
     if phase:
-        return f"maintenance {phase}: {_readiness(held)}"
+        return f"maintenance {phase}: {_describe_readiness(held)}"
     if not target.reported:
         return "known from the owner before, not reported yet"
     if target.state == "suspect":
@@ -130,19 +137,21 @@
     if quarantined:
         return "most of what it started failed"
     if target.state == "dead" and held:
-        return f"silent; held until its fate is known: {_named(held)}"
-    if told.kind == "worker" and not placing.workers.is_confirmed(told.target_id):
+        return f"silent; held until its fate is known: {_list_tasks(held)}"
+    if announcement.kind == "worker" and not placing.workers.is_confirmed(
+        announcement.target_id
+    ):
         return "has not confirmed this owner's epoch"
     return ""
 
 
-def _readiness(held):
+def _describe_readiness(held):
     if not held:
         return "ready, nothing runs"
-    return f"not ready, {len(held)} tasks run: {_named(held)}"
+    return f"not ready, {len(held)} tasks run: {_list_tasks(held)}"
 
 
-def _named(held):
+def _list_tasks(held):
     names = sorted(placement.record.task_id for placement in held)
-    more = ", ..." if len(names) > NAMED_TASKS else ""
-    return ", ".join(names[:NAMED_TASKS]) + more
+    more = ", ..." if len(names) > MAX_NAMED_TASKS else ""
+    return ", ".join(names[:MAX_NAMED_TASKS]) + more
--- a/alderreach/ops/placer/upkeep.py
+++ b/alderreach/ops/placer/upkeep.py
@@ -5,7 +5,7 @@
 RUNNER_LEAVE_MS = 3000
 
 
-def apply_windows(placing, windows, wall_ms, now_ms, leaving_since):
+def apply_windows(placing, windows, wall_ms, now_ms, leaving_since_ms):
     """Close, and clear where it is time, what the windows cover.
 
     ``leaving_since`` maps VMs to when their runners began to leave; kept by the
@@ -15,39 +15,43 @@
     """
     closed, leaving, clearing = set(), set(), []
     for target_id, target in placing.members.targets.items():
-        told = target.announced
-        phase = maintenance.phase_of(windows, told.vm, told.rack, wall_ms)
-        if _is_being_stopped(placing, told):
+        announcement = target.announced
+        phase = maintenance.phase_of(
+            windows, announcement.vm, announcement.rack, wall_ms
+        )
+        if _is_being_stopped(placing, announcement):
             leaving.add(target_id)
         if phase not in ("closed", "clearing"):
-            leaving_since.pop(told.vm, None)
-        elif told.kind == "worker":
+            leaving_since_ms.pop(announcement.vm, None)
+        elif announcement.kind == "worker":
             closed.add(target_id)
             if phase == "clearing":
-                clearing.append(told)
+                clearing.append(announcement)
         elif phase == "clearing":
             leaving.add(target_id)
     placing.workers.set_closed(closed)
     placing.members.set_leaving(leaving)
-    for told in clearing:
-        since_ms = leaving_since.setdefault(told.vm, now_ms)
-        left_ms = maintenance.time_left_ms(windows, told.vm, told.rack, wall_ms)
+    for announcement in clearing:
+        since_ms = leaving_since_ms.setdefault(announcement.vm, now_ms)
+        remaining_ms = maintenance.time_left_ms(
+            windows, announcement.vm, announcement.rack, wall_ms
+        )
         may_stop_runner = now_ms - since_ms >= RUNNER_LEAVE_MS
-        for placement in placing.placements.on_worker(told.target_id):
-            _clear(placing, placement, left_ms, may_stop_runner, now_ms)
+        for placement in placing.placements.on_worker(announcement.target_id):
+            _clear(placing, placement, remaining_ms, may_stop_runner, now_ms)
 
 
-def _is_being_stopped(placing, told):
+def _is_being_stopped(placing, announcement):
     """Whether a runner's own task is being stopped, as when a service shrinks.
 
     Shown as leaving before its worker's grace is over, it gets no request that the
     stop would cut.
     """
-    placement = placing.placements.by_task.get(told.task_id)
+    placement = placing.placements.by_task.get(announcement.task_id)
     return placement is not None and placement.state == "stopping"
 
 
-def _clear(placing, placement, left_ms, may_stop_runner, now_ms):
+def _clear(placing, placement, remaining_ms, may_stop_runner, now_ms):
     """End one task so that it starts elsewhere, in the way that loses least."""
     if placement.state not in ("running", "starting"):
         return
@@ -57,5 +61,5 @@
             placing.stop(placement, "stop", "stopped", now_ms)
     elif state.job.checkpoint:
         placing.stop(placement, "checkpoint", "checkpointed", now_ms)
-    elif left_ms <= maintenance.STOP_LEAD_MS:
+    elif remaining_ms <= maintenance.STOP_LEAD_MS:
         placing.stop(placement, "stop", "stopped", now_ms)
--- a/alderreach/ops/placer/watchers.py
+++ b/alderreach/ops/placer/watchers.py
@@ -13,7 +13,7 @@
 
     def __init__(self):
         self.sequence = 0
-        self.heard_ms = 0
+        self.last_contact_ms = 0
 
 
 class Watchers:
@@ -25,38 +25,38 @@
         self._members = members
         self._send = send
         self._watchers = {}
-        self._pushed = 0
+        self._pushed_sequence = 0
         self.published = False
 
-    def asked(self, address, watch, now_ms):
+    def handle_watch(self, address, watch, now_ms):
         """Answer a WatchTargets, and push changes to its sender from now on."""
         if not self.published:
             return
         watcher = self._watchers.setdefault(address, _Watcher())
-        watcher.heard_ms = now_ms
+        watcher.last_contact_ms = now_ms
         watcher.sequence = watch.sequence if watch.epoch == self._epoch else 0
-        self._tell(address, watcher)
+        self._send_changes(address, watcher)
 
     def push(self, now_ms):
         """Send what changed to all who asked lately."""
-        if not self.published or self._pushed == self._members.sequence:
+        if not self.published or self._pushed_sequence == self._members.sequence:
             return
-        self._pushed = self._members.sequence
+        self._pushed_sequence = self._members.sequence
         for address, watcher in list(self._watchers.items()):
-            if now_ms - watcher.heard_ms > WATCHER_SILENCE_MS:
+            if now_ms - watcher.last_contact_ms > WATCHER_SILENCE_MS:
                 del self._watchers[address]
             else:
-                self._tell(address, watcher)
+                self._send_changes(address, watcher)
 
-    def introduce(self, addresses, now_ms):
+    def publish(self, addresses, now_ms):
         """Send a new owner's view to entries that have not asked it yet."""
         self.published = True
         for address in addresses:
             watcher = self._watchers.setdefault(address, _Watcher())
-            watcher.heard_ms = now_ms
-            self._tell(address, watcher)
+            watcher.last_contact_ms = now_ms
+            self._send_changes(address, watcher)
 
-    def _tell(self, address, watcher):
+    def _send_changes(self, address, watcher):
         from_sequence, runners = self._members.changes_since(watcher.sequence)
         watcher.sequence = self._members.sequence
         self._send(
--- a/alderreach/ops/placer/workers.py
+++ b/alderreach/ops/placer/workers.py
@@ -16,14 +16,16 @@
         self._closed = frozenset()
         self._orphans = {}
 
-    def add(self, told):
+    def add(self, announcement):
         """Have the scheduler know a worker, with its capacity as last announced."""
-        worker_id = told.target_id
-        if self._capacities.get(worker_id) == told.capacity:
+        worker_id = announcement.target_id
+        if self._capacities.get(worker_id) == announcement.capacity:
             return
-        self._scheduler.add_worker(worker_id, told.vm, told.rack, told.capacity)
-        self._capacities[worker_id] = told.capacity
-        self.open(worker_id)
+        self._scheduler.add_worker(
+            worker_id, announcement.vm, announcement.rack, announcement.capacity
+        )
+        self._capacities[worker_id] = announcement.capacity
+        self.update_open(worker_id)
 
     def remove(self, worker_id):
         """Have the scheduler forget a worker."""
@@ -31,7 +33,7 @@
             self._scheduler.remove_worker(worker_id)
         self._confirmed.discard(worker_id)
 
-    def open(self, worker_id):
+    def update_open(self, worker_id):
         """Open a worker for new tasks, or close it, as its state says."""
         if worker_id not in self._capacities:
             return
@@ -50,7 +52,7 @@
         changed = self._closed ^ frozenset(worker_ids)
         self._closed = frozenset(worker_ids)
         for worker_id in changed:
-            self.open(worker_id)
+            self.update_open(worker_id)
 
     def confirm(self, worker_id):
         """Note that a worker has told that it knows this epoch."""
@@ -60,7 +62,7 @@
         """Whether a worker has told that it knows this epoch."""
         return worker_id in self._confirmed
 
-    def restarted(self, worker_id):
+    def on_restarted(self, worker_id):
         """Another boot: it must confirm anew, and what was astray is gone."""
         self._confirmed.discard(worker_id)
         self._orphans.pop(worker_id, None)
@@ -68,11 +70,11 @@
     def add_orphan(self, worker_id, task_id):
         """Note a running task that is not placed; False if it was noted before."""
         orphans = self._orphans.setdefault(worker_id, set())
-        known = task_id in orphans
+        was_known = task_id in orphans
         orphans.add(task_id)
-        return not known
+        return not was_known
 
-    def keep_orphans(self, worker_id, running):
+    def retain_orphans(self, worker_id, running):
         """Forget the worker's orphans that it does not report as running."""
         orphans = self._orphans.pop(worker_id, set()) & running
         if orphans:
--- a/alderreach/ops/settings_watch.py
+++ b/alderreach/ops/settings_watch.py
@@ -22,7 +22,7 @@
         self._path = path
         self._role = role
         self._next_ms = 0
-        self._seen = _stamp(path)
+        self._last_stamp = _stamp(path)
 
     def poll(self, now_ms):
         """The new settings if the file has changed and is sound, else None."""
@@ -30,9 +30,9 @@
             return None
         self._next_ms = now_ms + POLL_INTERVAL_MS
         stamp = _stamp(self._path)
-        if stamp == self._seen or stamp is None:
+        if stamp == self._last_stamp or stamp is None:
             return None
-        self._seen = stamp
+        self._last_stamp = stamp
         settings, mistakes = settings_parser.load(self._path, self._role)
         for mistake in mistakes:
             logging.error("changed settings not taken: %s", problems.show(mistake))
--- a/alderreach/ops/target_wire.py
+++ b/alderreach/ops/target_wire.py
@@ -13,11 +13,11 @@
 from alderreach.core import target_membership
 from alderreach.core.generated import common
 
-TARGET_ID_CHARS_MAX = 200
+MAX_TARGET_ID_CHARS = 200
 SEND_TIMEOUT_S = 2.0
 CONNECT_TIMEOUT_S = 0.5
-CONNECTIONS_KEPT = 2000
-ANSWER_BYTES_MAX = 8 << 20
+MAX_KEPT_CONNECTIONS = 2000
+MAX_ANSWER_BYTES = 8 << 20
 TARGET_STATES = ("ready", "leaving", "gone")
 TASK_STATES = ("running", "finished", "failed", "stopped", "checkpointed")
 NOTHING = common.Resources(0, 0, 0)
@@ -109,71 +109,73 @@
 
 def parse_announcement(target_id, body) -> Result:
     """Check an announcement: ``Ok(Announcement)``, or ``Err(text)``."""
-    if not 0 < len(target_id) <= TARGET_ID_CHARS_MAX:
+    if not 0 < len(target_id) <= MAX_TARGET_ID_CHARS:
         return Err("target id is empty or too long")
     try:
-        told = _announcement_decoder.decode(body)
+        fields = _announcement_decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         return Err(str(error))
-    wrong = _find_mistake(told)
-    if wrong:
-        return Err(wrong)
-    return Ok(_announcement(target_id, told))
+    mistake = _find_mistake(fields)
+    if mistake:
+        return Err(mistake)
+    return Ok(_make_announcement(target_id, fields))
 
 
-def _find_mistake(told):
+def _find_mistake(fields):
     """Say what is wrong beyond the types, or return an empty text."""
-    host, _, port = told["address"].rpartition(":")
+    host, _, port = fields["address"].rpartition(":")
     if not host or not port.isdigit():
         return "address is not host:port"
-    if not told["boot_id"]:
+    if not fields["boot_id"]:
         return "boot_id is empty"
-    if told["kind"] == "runner":
-        if not told.get("service"):
+    if fields["kind"] == "runner":
+        if not fields.get("service"):
             return "a runner names its service"
-        if told.get("slots", 0) < 1 or told.get("connections", 0) < 1:
+        if fields.get("slots", 0) < 1 or fields.get("connections", 0) < 1:
             return "a runner has at least one slot and one connection"
         return ""
-    if "capacity" not in told:
+    if "capacity" not in fields:
         return "a worker names its capacity"
-    if min(told["capacity"].values()) < 0:
+    if min(fields["capacity"].values()) < 0:
         return "capacity is negative"
     return ""
 
 
-def _announcement(target_id, told):
+def _make_announcement(target_id, fields):
     tasks = tuple(
         target_membership.ReportedTask(
             task["task_id"], task["attempt"], task["state"], task.get("reason", "")
         )
-        for task in told.get("tasks", ())
+        for task in fields.get("tasks", ())
     )
     return target_membership.Announcement(
         target_id,
-        told["kind"],
-        told["boot_id"],
-        told["sequence"],
-        told["state"],
-        told["vm"],
-        told["rack"],
-        told["failure_domain"],
-        told["address"],
-        told.get("owner_epoch_seen", 0),
-        _resources(told.get("capacity")),
-        _resources(told.get("usage")),
+        fields["kind"],
+        fields["boot_id"],
+        fields["sequence"],
+        fields["state"],
+        fields["vm"],
+        fields["rack"],
+        fields["failure_domain"],
+        fields["address"],
+        fields.get("owner_epoch_seen", 0),
+        _resources(fields.get("capacity")),
+        _resources(fields.get("usage")),
         tasks,
-        told.get("service", ""),
-        told.get("team", ""),
-        told.get("slots", 0),
-        told.get("connections", 0),
-        told.get("task_id", ""),
+        fields.get("service", ""),
+        fields.get("team", ""),
+        fields.get("slots", 0),
+        fields.get("connections", 0),
+        fields.get("task_id", ""),
     )
 
 
-def _resources(told):
-    if told is None:
+def _resources(fields):
+    if fields is None:
         return NOTHING
-    return common.Resources(told["cpu_millis"], told["memory_mb"], told["accelerators"])
+    return common.Resources(
+        fields["cpu_millis"], fields["memory_mb"], fields["accelerators"]
+    )
 
 
 def lease_answer(epoch, lease_ms, heartbeat_ms, acknowledged):
@@ -188,7 +190,7 @@
     )
 
 
-def elsewhere_answer(owner_address):
+def misdirected_answer(owner_address):
     """Return the body of a 421 answer."""
     return msgspec.json.encode({"owner_address": owner_address})
 
@@ -210,8 +212,8 @@
 
 def end_command(command, task_id, attempt, grace_ms):
     """Return a stop or checkpoint command."""
-    told = {"command": command, "task_id": task_id, "attempt": attempt}
-    return told | ({"grace_ms": grace_ms} if command == "stop" else {})
+    fields = {"command": command, "task_id": task_id, "attempt": attempt}
+    return fields | ({"grace_ms": grace_ms} if command == "stop" else {})
 
 
 class WorkerClient:
@@ -219,7 +221,7 @@
 
     def __init__(self):
         self._pools = urllib3.PoolManager(
-            num_pools=CONNECTIONS_KEPT,
+            num_pools=MAX_KEPT_CONNECTIONS,
             maxsize=1,
             retries=False,
             timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=SEND_TIMEOUT_S),
@@ -258,12 +260,12 @@
     """Read a worker's answer; what makes no sense counts as uncertain."""
     uncertain = BatchResult(batch, "uncertain", (), 0)
     try:
-        told = _answer_decoder.decode(body[:ANSWER_BYTES_MAX])
+        fields = _answer_decoder.decode(body[:MAX_ANSWER_BYTES])
     except msgspec.MsgspecError:
         return uncertain
-    if status == 409 and told.get("reason") in ("epoch", "boot", "late"):
-        return BatchResult(batch, told["reason"], (), told.get("highest_epoch", 0))
-    if status != 200 or told.get("boot_id") != batch.boot_id:
+    if status == 409 and fields.get("reason") in ("epoch", "boot", "late"):
+        return BatchResult(batch, fields["reason"], (), fields.get("highest_epoch", 0))
+    if status != 200 or fields.get("boot_id") != batch.boot_id:
         return uncertain
     results = tuple(
         CommandResult(
@@ -272,6 +274,6 @@
             result["accepted"],
             result.get("reason", ""),
         )
-        for result in told.get("results", ())
+        for result in fields.get("results", ())
     )
     return BatchResult(batch, "answered", results, 0)
