--- a/alderreach/ops/placer/announcing.py
+++ b/alderreach/ops/placer/announcing.py
@@ -1,4 +1,4 @@
-"""The HTTP side of announcements: a WSGI callable that asks the placer's task."""
+"""The HTTP endpoint for announcements: a WSGI callable that calls the placer's task."""
 
 import typing
 
@@ -25,14 +25,14 @@
 
 
 class AnnouncementRequest(typing.NamedTuple):
-    """An announcement for the task; the ticket gets an Answer."""
+    """An announcement passed to the task, which answers the ticket with an Answer."""
 
     announcement: target_membership.Announcement
     ticket: tasks.Ticket
 
 
 class Answer(typing.NamedTuple):
-    """An HTTP answer: status, JSON body and its content type."""
+    """An HTTP response: status, JSON body and its content type."""
 
     status: int
     body: bytes
@@ -40,7 +40,7 @@
 
 
 def problem(status, title, detail):
-    """Return a problem document."""
+    """Return an answer with a problem document."""
     document = {
         "type": "about:blank",
         "title": title,
@@ -51,7 +51,7 @@
 
 
 def make_application(failure_domain, enqueue, body_bytes):
-    """Return the callable; ``enqueue`` sends an AnnouncementRequest to the task."""
+    """Return the WSGI callable; ``enqueue`` passes AnnouncementRequests to the task."""
 
     def handle_request(environ):
         path = environ.get("PATH_INFO", "")
@@ -91,7 +91,7 @@
 
 
 def open_listener(settings, enqueue):
-    """Serve announcements on the targets' address; returns the HttpServer."""
+    """Serve announcements on the listen address for targets; returns the HttpServer."""
     application = make_application(
         settings.process.failure_domain, enqueue, settings.limits.body_bytes
     )
--- a/alderreach/ops/placer/commands.py
+++ b/alderreach/ops/placer/commands.py
@@ -1,8 +1,8 @@
-"""When which command goes to which worker: one batch a worker under way, resent.
+"""Schedules commands to workers: at most one batch per worker in flight, with resends.
 
-A command that no answer came for is sent again: workers take a repeated run as known.
-Commands are batches at the last moment, so that a task whose fate changed while its
-command waited gets the newer command, or none.
+A command without an answer is sent again: workers accept a repeated run command as
+already known. Commands are created only when their batch is sent, so that a task whose
+state changed while its command was queued gets the newer command, or none.
 """
 
 import heapq
@@ -16,7 +16,11 @@
 
 
 class Commands:
-    """Commands of one owner; ``lapse_ms`` is how long an unanswered run may arrive."""
+    """Commands of one owner.
+
+    ``lease_expiry_ms`` is the time during which an unanswered run command can still
+    start its attempt.
+    """
 
     def __init__(self, epoch, placements, members, jobs, lease_expiry_ms):
         self._epoch = epoch
@@ -31,21 +35,24 @@
         self._in_flight = set()
 
     def push_due(self, placement, due_ms):
-        """Look after this placement's commands at ``due_ms``."""
+        """Check at ``due_ms`` which command the placement needs."""
         self._due_count += 1
         heapq.heappush(self._due, (due_ms, self._due_count, placement))
 
     def has_work(self, until_ms):
-        """Whether anything waits to be sent, or is due by then."""
+        """Whether a command is queued, or is due at ``until_ms`` or earlier."""
         due = bool(self._due) and self._due[0][0] <= until_ms
         return due or bool(self._outgoing) or bool(self._strays)
 
     def stop_stray(self, worker_id, task_id, attempt):
-        """Have an attempt stopped that no placement stands for."""
+        """Queue a stop command for an attempt without a placement."""
         self._strays.setdefault(worker_id, set()).add((task_id, attempt))
 
     def queue_due(self, now_ms):
-        """Queue what is due; returns placements whose refused run is now certain."""
+        """Queue the commands that are due; returns placements with a final refusal.
+
+        A refusal is final once no other copy of the run command can start the attempt.
+        """
         refused = []
         while self._due and self._due[0][0] <= now_ms:
             placement = heapq.heappop(self._due)[2]
@@ -61,7 +68,7 @@
         return refused
 
     def _queue(self, placement, now_ms):
-        """Queue a command, unless its worker is out of reach."""
+        """Queue a command, or check again later if its worker is unreachable."""
         target = self._members.targets.get(placement.record.worker_id)
         if target is None or not target.reported or target.state == "dead":
             self.push_due(placement, now_ms + RESEND_MS)
@@ -70,7 +77,7 @@
         queue[placement.record.task_id] = placement
 
     def batches(self):
-        """Return the batches to send now: one a worker, none while one is under way."""
+        """Return the batches to send now, for workers that have none in flight."""
         waiting = [
             *self._outgoing,
             *(w for w in self._strays if w not in self._outgoing),
@@ -96,7 +103,7 @@
         )
 
     def _pop_commands(self, worker_id):
-        """Take the worker's commands off the queue, batches as of now."""
+        """Remove the worker's commands from the queue, based on the current state."""
         commands = [
             target_wire.end_command("stop", task_id, attempt, STOP_GRACE_MS)
             for task_id, attempt in self._strays.pop(worker_id, ())
@@ -124,7 +131,10 @@
             )
 
     def match_answers(self, result, now_ms):
-        """Take a BatchResult; yields (placement, command, CommandResult) of answers."""
+        """Match a result to placements: yields (placement, command, CommandResult).
+
+        Commands without an answer are scheduled again.
+        """
         batch = result.batch
         self._in_flight.discard(batch.worker_id)
         answers = {(r.task_id, r.attempt): r for r in result.results}
--- a/alderreach/ops/placer/item_writer.py
+++ b/alderreach/ops/placer/item_writer.py
@@ -1,12 +1,13 @@
-"""An owner's writes to the keepers: coalesced, one batch under way, guarded by epoch.
+"""An owner's writes to the keepers: coalesced, one batch in flight, guarded by epoch.
 
-Items change far more often than they need to be durable. Each key is written with its
-value at the time the batch is made, so that a slow quorum makes batches larger, not
-the queue longer. The guard lets a deposed owner's late write change nothing.
+Items change far more often than they need to become durable. Each key is written with
+the value it has when the batch is created, so that a slow quorum leads to larger
+batches and not to a longer queue. The guard epoch makes the keepers reject a late write
+of a deposed owner.
 
 A copy of a batch that was delayed in the network may reach the keepers after a newer
-batch. Every write therefore names the version it replaces: the late copy then loses,
-where an unconditional write would bring back an older state.
+batch. Every write therefore states the version that it replaces. The late copy then
+fails with a conflict, where an unconditional write would restore an older state.
 """
 
 import typing
@@ -20,7 +21,7 @@
 
 
 class _PendingWrite(typing.NamedTuple):
-    """One key of the batch under way."""
+    """One key of the batch in flight."""
 
     key: str
     value: bytes | None
@@ -29,10 +30,11 @@
 
 
 class ItemWriter:
-    """Keys to be written; ``mark`` may be called again and again for a key.
+    """Keys to be written; ``mark`` may be called any number of times for a key.
 
-    ``make()`` gives the value (None deletes) and a function to be called once that
-    value is durable, or None. ``versions`` are those in force, by key.
+    ``make()`` returns the value (None deletes the item) and a function to call once
+    that value is durable, or None. ``versions`` maps keys to their current versions.
+    ``failing`` is True while the last batch ended without a result from the keepers.
     """
 
     def __init__(self, failure_domain, author, epoch, versions):
@@ -46,16 +48,16 @@
         self.failing = False
 
     def mark(self, key, make):
-        """Have an item written with what ``make`` gives by then."""
+        """Schedule a write of an item; ``make`` is called when the batch is created."""
         self._makers.setdefault(key, make)
 
     def record_version(self, item):
-        """Note the version of an item that another wrote, so that it can be deleted."""
+        """Record the version of an item written by others, needed to delete it."""
         self._update_version(item.key, item.version if item.value is not None else 0)
 
     @property
     def has_work(self):
-        """Whether a batch waits to be sent."""
+        """Whether there is a batch to send and none in flight."""
         return bool(self._makers) and self._in_flight is None
 
     def next_batch(self, now_ms, wall_ms):
@@ -80,9 +82,9 @@
         )
 
     def handle_outcome(self, outcome, now_ms):
-        """Take the batch's ``keeper_client.Outcome``; returns the write's status.
+        """Handle the batch's ``keeper_client.Outcome``; returns the write's status.
 
-        What may not have been written is written again, with newer values.
+        Items that may not have been written are written again with their newest values.
         """
         writes_sent, self._in_flight = self._in_flight, None
         result = None
--- a/alderreach/ops/placer/items.py
+++ b/alderreach/ops/placer/items.py
@@ -1,7 +1,7 @@
-"""What the keepers' items mean for an owner: teams, services, jobs, cancellations.
+"""Applies the keepers' items to an owner: teams, services, jobs, cancellations.
 
-Items come twice: read as a whole when ownership was granted, and pushed as they
-change. Each is applied once, by its version, whichever way it comes first.
+Items arrive in two ways: all are read when ownership is granted, and each is pushed
+when it changes. The version ensures that an item is applied only once.
 """
 
 from alderreach.core import codec
@@ -18,13 +18,17 @@
 
 
 def read_prefixes(failure_domain):
-    """Return the prefixes a new owner reads as they are now, before it acts."""
+    """Return the prefixes a new owner reads in their current state before it acts."""
     kinds = ("job", "done", "lost", "status", "cancel", "placed")
     return tuple(f"{kind}/{failure_domain}/" for kind in kinds)
 
 
 class Items:
-    """Applies items to the ``placing`` of one epoch."""
+    """Applies items to the ``placing`` of one epoch.
+
+    ``windows`` maps keys to maintenance windows. ``death_declarations`` maps targets
+    that an operator declared dead to the time when this owner received the item.
+    """
 
     def __init__(self, placing, failure_domains):
         self._placing = placing
@@ -51,7 +55,7 @@
         ]
 
     def _load_jobs(self, by_kind, now_ms):
-        """Take jobs together with what is known of their ends and cancellations."""
+        """Submit jobs together with their ended tasks, losses and cancellations."""
         states = {}
         for item in by_kind.get("job", ()):
             self._versions[item.key] = item.version
@@ -75,7 +79,7 @@
             self._placing.submit(state, now_ms)
 
     def apply(self, item, now_ms):
-        """Apply one item unless it, or a newer version, was applied before."""
+        """Apply one item unless this or a newer version was applied before."""
         if item.version <= self._versions.get(item.key, -1):
             return
         self._versions[item.key] = item.version
@@ -101,7 +105,7 @@
             scheduler.set_team(codec.decode(item.value, common.Team))
 
     def _apply_workload(self, item, now_ms):
-        """Run this domain's share of a service; a changed one replaces the old."""
+        """Run this domain's share of a service; a change replaces the old job."""
         before = self._services.get(item.key)
         workload = None
         if item.value is not None:
@@ -135,7 +139,7 @@
             self.windows[item.key] = codec.decode(item.value, common.MaintenanceWindow)
 
     def _apply_death_declaration(self, item, now_ms):
-        """Note an operator's word that a target is dead, and when it was noted."""
+        """Store or remove an operator's declaration that a target is dead."""
         if item.value is None:
             self.death_declarations.pop(_name(item), None)
         else:
@@ -156,11 +160,11 @@
                 self._placing.cancel(job_id, now_ms)
 
     def apply_death_declarations(self, now_ms):
-        """Give up silent targets that an operator declared dead.
+        """Remove silent targets that an operator declared dead.
 
-        A word is about the silence at that time: it is deleted once it was followed,
-        or if the target is heard, so that it can't hit the target's next silence. A
-        target that is not silent for long enough yet keeps the word waiting.
+        A declaration refers to the target's current silence. It is deleted once it was
+        applied, or once the target reports again, so that it can't apply to a later
+        silence. It stays pending while the target is not yet suspect or dead.
         """
         for target_id, received_ms in list(self.death_declarations.items()):
             target = self._placing.members.targets.get(target_id)
@@ -174,7 +178,7 @@
             self._placing.ledger.delete(f"target/{target_id}")
 
     def drop_old_jobs(self, wall_ms):
-        """Delete the items of jobs that ended long ago."""
+        """Delete the items of jobs that ended more than ``JOB_RETENTION_MS`` ago."""
         domain = self._placing.failure_domain
         for job_id, state in list(self._placing.jobs.items()):
             if not state.final_durable or state.is_service:
--- a/alderreach/ops/placer/jobs.py
+++ b/alderreach/ops/placer/jobs.py
@@ -1,4 +1,4 @@
-"""The jobs an owner places: what their items say and what is yet to be written."""
+"""State of the jobs that an owner places, and the encoding of their items."""
 
 import xxhash
 
@@ -12,11 +12,11 @@
 class JobState:
     """One job or service; ``finished`` and ``failed`` hold numbers of its tasks.
 
-    ``losses`` maps numbers to how often the task was lost soon after its start.
+    ``losses`` maps task numbers to how often the task was lost soon after its start.
 
-    ``durable`` are the finished numbers the keepers hold: only those may a worker
-    forget. ``attempts`` maps numbers to the last attempt given out. ``final_durable``
-    tells that the keepers hold the final status.
+    ``durable_finished`` are the finished numbers stored by the keepers: workers may
+    forget only those. ``attempts`` maps task numbers to the last attempt assigned.
+    ``final_durable`` is True once the keepers store the final status.
     """
 
     def __init__(self, job, is_service=False, service=""):
@@ -34,7 +34,7 @@
 
     @property
     def is_final(self):
-        """Whether the job has ended for good."""
+        """Whether the job has reached a final state."""
         return self.status is not None and self.status.state in FINAL_STATES
 
 
@@ -44,13 +44,13 @@
 
 
 def number_of(task_id):
-    """Return the task's number, -1 if the id is not ours."""
+    """Return the task's number, or -1 if the id does not have this form."""
     number = task_id.rpartition("/")[2]
     return int(number) if number.isdigit() else -1
 
 
 def to_ranges(numbers):
-    """Return sorted numbers as first, last, first, last.
+    """Return numbers as a flat list of ranges: first, last, first, last.
 
     >>> to_ranges({1, 2, 3, 7})
     [1, 3, 7, 7]
@@ -65,7 +65,7 @@
 
 
 def from_ranges(ranges):
-    """Return the set of numbers that ``to_ranges`` gave."""
+    """Return the set of numbers that ``to_ranges`` encoded."""
     numbers = set()
     for first, last in zip(ranges[::2], ranges[1::2], strict=True):
         numbers.update(range(first, last + 1))
@@ -82,7 +82,7 @@
 
 
 def load_ended(state, value):
-    """Take an EndedTasks item read from the keepers."""
+    """Load an EndedTasks item read from the keepers into the state."""
     item = codec.decode(value, placer.EndedTasks)
     state.finished |= from_ranges(item.finished)
     state.failed |= from_ranges(item.failed)
@@ -96,16 +96,17 @@
 
 
 def load_lost(state, value):
-    """Take a LostTasks item read from the keepers."""
+    """Load a LostTasks item read from the keepers into the state."""
     pairs = codec.decode(value, placer.LostTasks).losses
     state.losses = dict(zip(pairs[::2], pairs[1::2], strict=True))
 
 
 def service_job(workload, failure_domain, tasks):
-    """Return the Job that stands for a service in a failure domain.
+    """Return the Job that represents a service in a failure domain.
 
-    Its id tells the content but for the number of tasks, so that every owner gives
-    the same id to the same service, and one whose tasks must be replaced is another.
+    Its id contains a digest of the content without the number of tasks, so that every
+    owner gives the same id to the same service, while a change that requires replacing
+    the tasks leads to a new id.
     """
     job = common.Job(
         "",
@@ -136,8 +137,8 @@
 def service_share(workload, failure_domain, failure_domains):
     """Return how many of a service's tasks this failure domain runs.
 
-    A service without a home is spread evenly; the first domains by name take the
-    remainder.
+    A service without a home failure domain is spread evenly; the first domains by name
+    run the remainder.
     """
     home = workload.home_failure_domain
     if home:
--- a/alderreach/ops/placer/ledger.py
+++ b/alderreach/ops/placer/ledger.py
@@ -1,7 +1,8 @@
-"""What of an owner's state must outlive its process, and where it is held.
+"""The part of an owner's state that must survive its process, and where it is stored.
 
-Records go to the standby with the beats. Items go to the keepers: job statuses, which
-tasks finished, and the placements that no standby holds or that no lapse of time ends.
+Records go to the standby with the beats. Items go to the keepers: job statuses, the
+finished tasks, and the placements that no standby stores or that do not end when the
+worker's lease expires (``stay`` tasks).
 """
 
 from alderreach.core import codec, placements, records, target_membership
@@ -10,10 +11,10 @@
 
 
 class Ledger:
-    """The records and the marks of items to be written, of one epoch.
+    """The records of one epoch, and the scheduling of items to be written.
 
     ``mark_item(key, make)`` is ``item_writer.ItemWriter.mark``; ``make_status(state)``
-    gives a status item's value as ``make`` does.
+    returns a status item's value in the way ``make`` does.
     """
 
     def __init__(self, failure_domain, placed, members, mark_item, make_status):
@@ -36,19 +37,22 @@
         self._mark_worker(record)
 
     def record_end(self, record):
-        """Record how an attempt ended; a finish until the keepers hold it too."""
+        """Record the end of an attempt; other outcomes than finished delete its record.
+
+        The record of a finish is deleted once the keepers store it.
+        """
         if record.outcome != "finished":
             record = record._replace(outcome=records.DELETED)
         self.log.put("placement", record.task_id, record)
         self._mark_worker(record)
 
     def record_worker(self, announcement, gone=False):
-        """Record a worker as it announced itself, or that it is forgotten."""
+        """Record a worker from its announcement, or that it was removed."""
         record = target_membership.worker_record(announcement, gone)
         self.log.put("worker", announcement.target_id, record)
 
     def record_runners(self):
-        """Record what entries are told of runners."""
+        """Record the runner views that entries receive."""
         if self._runner_views == self._members.sequence:
             return
         _, views = self._members.changes_since(self._runner_views)
@@ -57,9 +61,9 @@
             self.log.put("runner", view.runner_id, view)
 
     def set_standby(self, has_standby, acked):
-        """Take in whether a standby lives and what it holds.
+        """Update whether a standby is active and up to which record it stores all.
 
-        Without one the keepers must hold what only it held.
+        When the last standby is lost, the keepers must store what only it stored.
         """
         if self._has_standby and not has_standby:
             for worker_id in self._placed.workers():
@@ -68,7 +72,7 @@
         self.log.trim(acked if has_standby else self.log.sequence)
 
     def is_safe(self, placement, acked, keepers_failing):
-        """Whether the loss of this process would not lose the placement."""
+        """Whether the placement would survive the loss of this process."""
         sequence = placement.record_sequence
         if sequence <= self._keeper_sequences.get(placement.record.worker_id, 0):
             return True
@@ -79,13 +83,13 @@
     # ---- items
 
     def mark_job(self, state):
-        """Have a job's status written; services have none."""
+        """Schedule the write of a job's status; services have none."""
         if not state.is_service:
             key = f"status/{self._failure_domain}/{state.job.job_id}"
             self._mark_item(key, lambda: self._make_status(state))
 
     def mark_ended(self, state):
-        """Have the keepers hold which tasks finished; then workers may forget them."""
+        """Schedule the write of the finished tasks; workers may forget durable ones."""
 
         def make():
             finished = frozenset(state.finished)
@@ -98,9 +102,9 @@
         self._mark_item(f"done/{self._failure_domain}/{state.job.job_id}", make)
 
     def record_losses(self, state, losses):
-        """Have the keepers hold how often a job's tasks were lost, for the next owner.
+        """Schedule the write of how often a job's tasks were lost, for the next owner.
 
-        That of a job that is over is empty and not written.
+        The losses of a job that has ended are empty and not written.
         """
         if losses and not state.is_service:
             state.losses = losses
@@ -108,7 +112,7 @@
             self._mark_item(key, lambda: (jobs.lost_item(state), None))
 
     def delete(self, key):
-        """Have an item deleted."""
+        """Schedule the deletion of an item."""
         self._mark_item(key, lambda: (None, None))
 
     def _on_finished_durable(self, state, finished):
@@ -136,9 +140,9 @@
         self._mark_item(f"placed/{self._failure_domain}/{worker_id}", make)
 
     def _worker_item(self, worker_id):
-        held = self._placed.on_worker(worker_id)
+        placed = self._placed.on_worker(worker_id)
         target = self._members.targets.get(worker_id)
-        if not held or target is None:
+        if not placed or target is None:
             return None
         record = target_membership.worker_record(target.announced)
-        return codec.encode(placements.worker_item(record, held))
+        return codec.encode(placements.worker_item(record, placed))
--- a/alderreach/ops/placer/ownership_term.py
+++ b/alderreach/ops/placer/ownership_term.py
@@ -1,4 +1,4 @@
-"""One epoch of ownership: from the grant over reading the items to stepping down."""
+"""One epoch of ownership: from the grant, through reading the items, to its end."""
 
 import random
 import typing
@@ -24,7 +24,7 @@
 
 
 class ItemsRead(typing.NamedTuple):
-    """A prefix was read for an epoch; ``outcome`` is the keepers'."""
+    """The end of reading a prefix for an epoch, with the request's Outcome."""
 
     epoch: int
     prefix: str
@@ -32,17 +32,18 @@
 
 
 class ItemsWritten(typing.NamedTuple):
-    """A batch of an epoch's writes ended."""
+    """The end of a batch of an epoch's writes, with the request's Outcome."""
 
     epoch: int
     outcome: typing.Any
 
 
 class OwnershipTerm:
-    """The owner's state in one epoch; acts once all items are read.
+    """The owner's state in one epoch; it acts once all items are read.
 
-    ``context`` is the daemon's, ``gateway`` the keepers', ``put`` the task's mailbox,
-    ``copy`` the RecordCopy of the predecessor's records.
+    ``context`` is the daemon's Context, ``gateway`` the Gateway to the keepers,
+    ``copy`` the RecordCopy of the previous owner's records. ``enqueue(message)`` adds
+    a message to the mailbox of the placer's task.
     """
 
     def __init__(self, context, gateway, epoch, copy, enqueue):
@@ -77,7 +78,7 @@
         self._gateway.request(keeper.ReadItems(prefix), on_done, READ_TIMEOUT_MS)
 
     def handle_page(self, message, now_ms):
-        """Take a page; begin once all are there."""
+        """Store a page, or read it again if that failed; begin once all are read."""
         if message.outcome.status != "ok":
             self._read_prefix(message.prefix)
             return
@@ -125,10 +126,10 @@
         )
 
     def _is_newer_than_page(self, item):
-        """Whether an item of the gateway's copy counts beside the pages just read.
+        """Whether an item of the gateway's copy, missing in the pages read, is valid.
 
-        One that a page of its prefix does not list was deleted, unless it is newer
-        than the page.
+        An item that the page of its prefix does not list was deleted, unless it is
+        newer than the page.
         """
         prefix = item.key.rpartition("/")[0] + "/"
         page = self._pages.get(prefix)
@@ -136,11 +137,11 @@
 
     @property
     def has_begun(self):
-        """Whether the items are read and the placing runs."""
+        """Whether all items are read and the takeover is done."""
         return self.placing is not None
 
     def records(self):
-        """Return what the next owner must know, as a RecordCopy."""
+        """Return the records that the next owner needs, as a RecordCopy."""
         if not self.has_begun:
             return self._copy
         return records.copy_from_log(self.placing.ledger.log, self.epoch)
@@ -148,22 +149,22 @@
     # ---- messages
 
     def announce(self, announcement, now_ms):
-        """Take an announcement; returns the acknowledged task ids."""
+        """Handle an announcement; returns the acknowledged task ids."""
         return self.placing.announce(announcement, now_ms)
 
     def apply_items(self, changed, now_ms):
-        """Apply pushed items; before the beginning they are in the gateway's copy."""
+        """Apply pushed items; before the term begins the gateway's copy keeps them."""
         if self.has_begun:
             for item in changed:
                 self._writer.record_version(item)
                 self._items.apply(item, now_ms)
 
     def handle_write_result(self, message, now_ms):
-        """Take the end of a batch of writes; True if it shows that we are deposed."""
+        """Handle the end of a batch; returns True if it shows a newer epoch."""
         return self._writer.handle_outcome(message.outcome, now_ms) == "stale_epoch"
 
     def record_promise(self, standby, promise):
-        """Note up to which record a standby holds all."""
+        """Update the sequence up to which a standby stores all records."""
         if promise.epoch == self.epoch:
             self._acked[standby] = promise.record_sequence
 
@@ -180,7 +181,7 @@
     # ---- time
 
     def tick(self, now_ms, standbys):
-        """Decide and publish; returns the batches to send to workers."""
+        """Make decisions and publish them; returns the batches to send to workers."""
         if not self.has_begun:
             return []
         acked = min((self._acked.get(name, 0) for name in standbys), default=0)
@@ -224,7 +225,7 @@
         self._gateway.request(batch, on_done, WRITE_TIMEOUT_MS)
 
     def has_work(self, until_ms):
-        """Whether a tick before then would have something to do."""
+        """Whether a tick at ``until_ms`` or earlier would have something to do."""
         if not self.has_begun:
             return False
         return self._writer.has_work or self.placing.has_work(until_ms)
@@ -233,14 +234,15 @@
 
     @property
     def has_unsent_records(self):
-        """Whether there are records no beat has carried yet."""
+        """Whether there are records that no beat has contained yet."""
         return self.has_begun and self.placing.ledger.log.sequence > self._sent_sequence
 
     def make_beat(self, standby, now_ms, handover=False):
         """Return the OwnerBeat for a standby, with the records it lacks."""
         if not self.has_begun:
-            # Records would seem complete while they are not: a standby with none at
-            # all waits, if it takes over now, until everything has lapsed.
+            # A beat from record 0 would make incomplete records look complete. This
+            # beat adds no records to the standby's copy. If the standby takes over
+            # now, it therefore waits until all leases have expired.
             return placer.OwnerBeat(
                 self._domain, self.epoch, now_ms, 1, 1, [], [], [], handover
             )
--- a/alderreach/ops/placer/placing.py
+++ b/alderreach/ops/placer/placing.py
@@ -1,15 +1,16 @@
 """The working state of an owner: its targets, jobs and placements in one epoch.
 
-No I/O: items, announcements and answers come in with the time; batches for workers,
-records for the standby and writes for the keepers go out. What must hold here:
-
-- a run command leaves only once its record is held by the standby, or durable at the
-  keepers where no standby lives (and always there for ``stay`` tasks, which no lapse
-  of time ends);
-- a task has one placement at a time, and the next is made only after the last has
-  surely ended;
-- a worker known from a predecessor gets nothing new until it has reported having seen
-  this epoch: only then is an older owner's late command refused by it.
+This module does no I/O. Its inputs are items, announcements, answers and the time; its
+outputs are batches for workers, records for the standby and writes for the keepers. It
+maintains these invariants:
+
+- A run command is sent only once its record is stored by the standby, or durable at
+  the keepers if there is no standby. For ``stay`` tasks, which the expiry of a lease
+  does not end, it must always be durable at the keepers, unless they can't be reached.
+- A task has at most one placement. The next one is created only after the previous one
+  has certainly ended.
+- A worker known from a previous owner gets no new task until it has reported that it
+  has seen this epoch. Only from then on does it refuse late commands of an older owner.
 """
 
 import collections
@@ -24,10 +25,11 @@
 
 
 class Placing:
-    """All that the owner of ``epoch`` knows and wants done.
+    """The state of the owner of ``epoch``, and its decisions.
 
-    ``mark_item(key, make)`` has an item written (``item_writer.ItemWriter.mark``);
-    ``record`` is the time line's, ``wall_ms`` the wall clock.
+    ``mark_item(key, make)`` schedules the write of an item
+    (``item_writer.ItemWriter.mark``); ``record`` is the time line's method and
+    ``wall_ms`` returns the wall clock time.
     """
 
     def __init__(
@@ -63,7 +65,7 @@
     # ---- jobs
 
     def submit(self, state, now_ms):
-        """Take a job or service; one that ended only to know it."""
+        """Add a job or service; one that has already ended is not scheduled."""
         job = state.job
         self.jobs[job.job_id] = state
         if state.is_final:
@@ -77,12 +79,12 @@
         self.ledger.mark_job(state)
 
     def resize(self, job, now_ms):
-        """Take over a service's new number of tasks."""
+        """Apply a service's new number of tasks."""
         self.jobs[job.job_id].job = job
         self.scheduler.submit(job, now_ms)
 
     def cancel(self, job_id, now_ms):
-        """Stop a job: what runs is stopped, what waits never starts."""
+        """Cancel a job: running tasks are stopped, waiting tasks never start."""
         state = self.jobs.get(job_id)
         if state is None or state.is_final:
             return
@@ -92,7 +94,7 @@
         self.record_event("job_cancelled", job_id=job_id)
 
     def record_finish(self, state, number, now_ms):
-        """Count a task as finished that this owner never held as placed."""
+        """Record that a task without a placement of this owner has finished."""
         state.finished.add(number)
         state.failed.discard(number)
         self._replay_end(state.job, number, "finished", now_ms)
@@ -100,13 +102,13 @@
         self.ledger.mark_job(state)
 
     def _replay_end(self, job, number, outcome, now_ms):
-        """Tell the scheduler of an end from before this epoch."""
+        """Report to the scheduler a task that ended before this epoch."""
         self.scheduler.task_ended(f"{job.job_id}/{number}", 0, outcome, now_ms)
 
     # ---- targets
 
     def add_expected(self, announcement, now_ms):
-        """Note a target that a predecessor knew; it must report before it is used."""
+        """Add a target of the previous owner; it is used only once it has reported."""
         self.members.add_expected(announcement, now_ms)
         if announcement.kind == "worker":
             self.ledger.record_worker(announcement)
@@ -114,7 +116,7 @@
         self.ledger.record_runners()
 
     def announce(self, announcement, now_ms):
-        """Take an announcement; returns the ids of ended tasks it may forget."""
+        """Handle an announcement; returns the ids of ended tasks it may forget."""
         before = self.members.targets.get(announcement.target_id)
         effect = self.members.announce(announcement, now_ms)
         if effect == "stale":
@@ -155,14 +157,14 @@
         self.workers.add(announcement)
 
     def declare_dead(self, target_id, now_ms):
-        """Take an operator's word that a silent target's VM is gone for good."""
+        """Remove a silent target whose VM an operator declared lost for good."""
         for placement in self.placements.on_worker(target_id):
             self.end_attempt(placement, "lost", now_ms)
         self._remove_target(target_id)
         self.record_event("target_declared_dead", target_id=target_id)
 
     def _reconcile_tasks(self, announcement, now_ms):
-        """Compare what a worker reports with what it is held to run."""
+        """Compare the tasks that a worker reports with its placements."""
         acknowledged, listed, running = [], set(), set()
         for task in announcement.tasks:
             listed.add((task.task_id, task.attempt))
@@ -179,14 +181,14 @@
         return acknowledged
 
     def add_orphan(self, worker_id, task_id):
-        """Note a running task that is not placed: its worker stays closed meanwhile."""
+        """Record a running task without a placement; its worker is closed meanwhile."""
         if self.workers.add_orphan(worker_id, task_id):
             self.record_event("task_astray", task_id=task_id, target_id=worker_id)
 
     # ---- tasks
 
     def restore(self, placement, state):
-        """Count a task as placed that runs already, or may."""
+        """Add a placement of a previous owner, whose task runs or may run."""
         record = placement.record
         number = jobs.number_of(record.task_id)
         state.attempts[number] = max(state.attempts.get(number, 0), record.attempt)
@@ -198,7 +200,7 @@
         self.ledger.mark_job(state)
 
     def adopt(self, announcement, task, state, now_ms):
-        """Hold a running task that no record told of."""
+        """Add a placement for a running task that no record mentions."""
         record = placements.make_record(
             state.job, task.task_id, task.attempt, announcement.target_id
         )
@@ -213,7 +215,7 @@
             self.stop(placement, "stop", "stopped", now_ms)
 
     def on_task_started(self, placement, now_ms):
-        """A worker said that it runs the attempt."""
+        """Handle a worker's message that it runs the attempt."""
         if placement.accepted_ms is None:
             placement.accepted_ms = now_ms
             self.record_task_event("task_started", placement.record)
@@ -223,7 +225,7 @@
             self.ledger.mark_job(self.jobs[placement.job_id])
 
     def end_attempt(self, placement, outcome, now_ms):
-        """An attempt has surely ended and will not start again."""
+        """Remove the placement of an attempt that has certainly ended for good."""
         record = placements.with_outcome(placement.record, outcome)
         state = self.jobs[placement.job_id]
         number = jobs.number_of(record.task_id)
@@ -247,7 +249,7 @@
         self._remove_if_dead(record.worker_id)
 
     def stop(self, placement, command, outcome, now_ms):
-        """Have an attempt ended; at once if no run command of it ever left."""
+        """Stop an attempt; it ends at once if no run command of it was ever sent."""
         if placement.state == "starting" and not placement.sent:
             self.end_attempt(placement, outcome, now_ms)
             return
@@ -257,14 +259,14 @@
         self.commands.push_due(placement, now_ms)
 
     def may_run_arrive(self, key, now_ms):
-        """Whether a copy of an ended attempt's run may still arrive."""
+        """Whether a copy of an ended attempt's run command may still arrive."""
         until_ms = self._late_runs_ms.get(key, 0)
         if until_ms and until_ms <= now_ms:
             del self._late_runs_ms[key]
         return until_ms > now_ms
 
     def _remove_if_dead(self, worker_id):
-        """Drop a dead worker once nothing is held on it."""
+        """Remove a dead worker from the scheduler once it has no placements."""
         target = self.members.targets.get(worker_id)
         if target is None or self.placements.on_worker(worker_id):
             return
@@ -282,9 +284,9 @@
     # ---- time
 
     def tick(self, now_ms, acked, has_standby, keepers_failing):
-        """Age targets, decide, and release what is durable.
+        """Update target states, make decisions and release runs with durable records.
 
-        ``acked`` is the record up to which every living standby holds all.
+        ``acked`` is the sequence up to which every active standby stores all records.
         """
         self._tick_members(now_ms)
         self.ledger.set_standby(has_standby, acked)
@@ -295,11 +297,11 @@
             self.end_attempt(placement, "refused", now_ms)
 
     def has_work(self, until_ms):
-        """Whether a tick before then would have something to send or release."""
+        """Whether a tick at ``until_ms`` or earlier could send or release something."""
         return bool(self._awaiting_durability) or self.commands.has_work(until_ms)
 
     def remove_dead_targets(self, now_ms):
-        """Drop targets that have been dead for long and hold nothing."""
+        """Remove dead targets without placements after ``DEAD_TARGET_RETENTION_MS``."""
         for target_id, target in list(self.members.targets.items()):
             silent_ms = now_ms - target.last_contact_ms
             is_expired = target.state == "dead" and silent_ms > DEAD_TARGET_RETENTION_MS
@@ -307,7 +309,7 @@
                 self._remove_target(target_id)
 
     def handle_batch_result(self, result, now_ms):
-        """Take a ``target_wire.BatchResult``."""
+        """Handle a ``target_wire.BatchResult``."""
         for placement, command, answer in self.commands.match_answers(result, now_ms):
             if self.placements.is_current(placement):
                 reports.handle_command_answer(self, placement, command, answer, now_ms)
@@ -326,10 +328,11 @@
         self.ledger.record_runners()
 
     def _on_worker_dead(self, worker_id, now_ms):
-        """Its lease has surely lapsed: movable tasks have stopped themselves.
+        """End the movable tasks of a worker whose lease has certainly expired.
 
-        A copy of a run that is still on its way names an announcement older than the
-        lease and is refused. Tasks that stay are held until the worker's fate is known.
+        The worker has stopped them itself. It refuses a delayed copy of a run command,
+        which refers to an announcement older than the lease. The placements of ``stay``
+        tasks are kept until the worker returns or is declared dead.
         """
         for placement in self.placements.on_worker(worker_id):
             if placement.record.when_cut_off == "move":
@@ -373,7 +376,7 @@
         self.stop(placement, decision.how, "stopped", now_ms)
 
     def _release_runs(self, acked, keepers_failing, now_ms):
-        """Have the runs sent whose records would outlive this process."""
+        """Schedule the run commands whose records would survive this process."""
         waiting = collections.deque()
         for placement in self._awaiting_durability:
             if not self.placements.is_current(placement):
--- a/alderreach/ops/placer/reports.py
+++ b/alderreach/ops/placer/reports.py
@@ -1,15 +1,16 @@
-"""What a worker's report or answer means for the tasks it is held to run.
+"""Applies a worker's reports and answers to the placements on it.
 
-Reports and answers cross: a report made before a run was accepted arrives after the
-acceptance and does not list the task. A missing task therefore counts as gone only if
-an earlier report listed it, or the worker itself answered that it does not know it.
+Reports and answers can cross: a report created before a run was accepted may arrive
+after the acceptance and does not list the task. A missing task therefore counts as
+ended only if an earlier report listed it, or if the worker answered that it does not
+know the task.
 """
 
 from alderreach.ops.placer import jobs
 
 
 def handle_running_task(placing, announcement, task, now_ms):
-    """A worker reports a running task: expected, to be adopted, or astray."""
+    """Handle a running task in a report: placed there, to be adopted, or astray."""
     placement = placing.placements.by_task.get(task.task_id)
     if placement is not None and _is_same_attempt(placement, announcement, task):
         placement.reported = True
@@ -42,10 +43,11 @@
 
 
 def handle_ended_task(placing, announcement, task, now_ms):
-    """A worker reports an ended task; returns whether it may forget the attempt.
+    """Handle an ended task in a report; returns whether the worker may forget it.
 
-    A finish may be forgotten once the keepers hold it: else a takeover would run the
-    task again. No attempt may be while a copy of its run can still arrive.
+    A finish may be forgotten once the keepers store it: otherwise a takeover would run
+    the task again. No attempt may be forgotten while a copy of its run command can
+    still arrive, since the worker would start it again.
     """
     placement = placing.placements.by_task.get(task.task_id)
     if placement is not None and _is_same_attempt(placement, announcement, task):
@@ -68,14 +70,14 @@
 
 
 def _outcome(placement, reported_state):
-    """A stop nobody asked for, as at a lapsed lease, blames nobody."""
+    """Return the outcome; an unrequested stop, as at a lease end, is no failure."""
     if reported_state == "stopped":
         return placement.outcome or "stopped"
     return reported_state
 
 
 def handle_missing_task(placing, placement, now_ms):
-    """A worker that knows this epoch does not list a task it is held to run."""
+    """Handle a placed task missing in the report of a worker that knows this epoch."""
     if now_ms < placement.may_start_until_ms:
         return
     if placement.state == "held":
@@ -91,7 +93,7 @@
 
 
 def handle_command_answer(placing, placement, command, answer, now_ms):
-    """A worker answered one command."""
+    """Handle a worker's answer to one command."""
     if command == "run":
         _handle_run_answer(placing, placement, answer, now_ms)
         return
--- a/alderreach/ops/placer/sender.py
+++ b/alderreach/ops/placer/sender.py
@@ -1,9 +1,9 @@
-"""Threads that send batches of commands to workers and report how each ended.
+"""Threads that send batches of commands to workers and report how each batch ended.
 
-A process that was stopped and goes on does not notice it: a batch may leave the queue
-long after it was made. Each thread therefore checks the lease right before it sends.
-What a stop between the check and the socket lets through carries an old epoch, which
-workers refuse once they know the new owner.
+A process that is suspended and resumed does not notice it, so a batch may leave the
+queue long after it was created. Each thread therefore checks the lease right before it
+sends. A batch that passes because the process was suspended between the check and the
+sending has an old epoch, which workers refuse once they know the new owner.
 """
 
 import queue
@@ -16,9 +16,9 @@
 
 
 class Sender:
-    """Sends batches; ``lease()`` gives the ``ownership.Lease`` in force.
+    """Sends batches; ``lease()`` returns the current ``ownership.Lease``.
 
-    ``done(BatchResult)`` is called on a sender's thread.
+    ``on_result(BatchResult)`` is called on a sender's thread.
     """
 
     def __init__(self, lease, clock, on_result, threads=THREADS):
@@ -43,7 +43,7 @@
         self._queue.put(batch)
 
     def close(self):
-        """End the threads; batches not yet sent are dropped."""
+        """Stop the threads; batches not yet sent are dropped."""
         for _ in self._threads:
             self._queue.put(STOP)
         for thread in self._threads:
--- a/alderreach/ops/placer/service.py
+++ b/alderreach/ops/placer/service.py
@@ -1,7 +1,7 @@
-"""The placer daemon: one task that owns the domain's ownership, targets and tasks.
+"""The placer daemon: one task that manages the domain's ownership, targets and tasks.
 
-HTTP threads, the gateway to the keepers, peers and the senders of commands put
-messages into its mailbox; only this task decides.
+HTTP threads, the gateway to the keepers, peers and the command senders add messages to
+its mailbox; only this task makes decisions.
 """
 
 import typing
@@ -20,25 +20,25 @@
 
 
 class _ItemsChanged(typing.NamedTuple):
-    """Items the gateway applied to its copy."""
+    """Items that the gateway applied to its copy."""
 
     items: list
 
 
 class _GrantEnded(typing.NamedTuple):
-    """How a request for ownership ended."""
+    """The end of a request for ownership, with its Outcome."""
 
     outcome: typing.Any
 
 
 class HandOver(typing.NamedTuple):
-    """The process stops: give the domain away; the ticket is answered once it is."""
+    """Hand the domain over before a shutdown; the ticket is answered afterwards."""
 
     ticket: tasks.Ticket
 
 
 class Parts(typing.NamedTuple):
-    """How the service makes what runs beside it; tests put their own in place."""
+    """Factories for the objects the service runs with; tests replace them."""
 
     task: typing.Callable
     gateway: typing.Callable
@@ -54,7 +54,7 @@
 
 
 class PlacerService:
-    """The placer's task and what it is made of."""
+    """The placer's task with its gateway, senders and HTTP listener."""
 
     def __init__(self, context, parts=PARTS):
         self._context = context
@@ -97,7 +97,7 @@
         )
 
     def start(self):
-        """Open everything; return the role."""
+        """Start all threads and the listener; return the role."""
         stack = self._context.stack
         stack.callback(self._sender.close)
         self._sender.start()
@@ -113,23 +113,23 @@
     # ---- the role, called from other threads
 
     def deliver(self, received):
-        """Take a peer's message."""
+        """Pass a peer's message to the gateway or the task."""
         if not self._gateway.deliver(received):
             self._task.put(received)
 
     def status(self):
-        """Return the state as last published."""
+        """Return the last published status."""
         return self._status
 
     def drain(self):
-        """Hand the domain over to a standby, or at least give it up."""
+        """Hand the domain over to a standby, or release it if there is none."""
         ticket = tasks.Ticket()
         self._task.put(HandOver(ticket))
         ticket.wait(min(HANDOVER_WAIT_MS, self._timing.drain_ms))
 
     @property
     def may_act(self):
-        """Whether commands may leave now."""
+        """Whether commands may be sent now."""
         return self._ownership.may_act(self._clock.monotonic_ms())
 
     def _enqueue_items(self, changed, _copy):
@@ -167,7 +167,7 @@
         return self._term and self._term.epoch == epoch
 
     def _handle_announcement(self, announcement, now_ms):
-        """Answer an announcement, or name the owner."""
+        """Answer an announcement, or refer the target to the owner."""
         state = self._ownership
         if not state.may_act(now_ms) or self._term is None or not self._term.has_begun:
             owner = state.owner
@@ -267,7 +267,7 @@
     # ---- ownership
 
     def _update_term(self, now_ms):
-        """Begin or end the term as the ownership says; publish the status."""
+        """Begin or end the term according to the ownership."""
         state = self._ownership
         if self._term is not None and (
             not state.is_owner or state.epoch != self._term.epoch
@@ -304,7 +304,7 @@
         return self._pause_ms(now_ms)
 
     def _pause_ms(self, now_ms):
-        """How long the task may sleep if no mail comes; None for its shortest tick."""
+        """How long the task may sleep without a message; None for the shortest tick."""
         idle_until_ms = now_ms + IDLE_TICK_MS
         if self._drain_ticket is not None:
             return None
@@ -322,7 +322,7 @@
             self._sender.put(batch)
 
     def _request_ownership(self, now_ms):
-        """Ask for ownership where nobody else can have it any more."""
+        """Request ownership once no other process can have it any more."""
         if self._drain_ticket is not None:
             self._finish_drain()
             return
@@ -340,7 +340,7 @@
         )
 
     def _send_beats(self, now_ms):
-        """Renew at the keepers, when due, and tell the standbys."""
+        """Send a renewal to the keepers when due, and a beat to the standbys."""
         if now_ms >= self._next_beat_ms:
             self._next_beat_ms = now_ms + self._timing.owner_beat_ms
             self._send_renewal(now_ms)
@@ -349,7 +349,7 @@
             self._context.transport.send(address, beat)
 
     def _send_renewal(self, now_ms):
-        """Ask the leader, or all keepers while none has granted lately."""
+        """Send a renewal to the leader, or to all keepers without a recent grant."""
         renewal = self._ownership.next_renewal(uuid.uuid4().hex, now_ms)
         is_leader_recent = (
             now_ms - self._leader_contact_ms <= 2 * self._timing.owner_beat_ms
@@ -366,7 +366,7 @@
     # ---- stopping
 
     def _hand_over(self, message, now_ms):
-        """Stop acting for good, then let the standby take over at once."""
+        """Stop acting for good, and let a standby take over immediately."""
         state = self._ownership
         has_no_standby = state.is_owner and not state.active_standbys(now_ms)
         if has_no_standby:
@@ -393,7 +393,7 @@
             self._context.transport.send(address, release)
 
     def _finish_drain(self):
-        """The process may end once a standby owns the domain."""
+        """Answer the drain ticket once a standby owns the domain."""
         state = self._ownership
         if state.owner is not None and state.epoch > state.released_epoch:
             self._drain_ticket.answer(True)
--- a/alderreach/ops/placer/status.py
+++ b/alderreach/ops/placer/status.py
@@ -1,4 +1,4 @@
-"""What an owner says of its jobs and targets: statuses and answers to queries."""
+"""Statuses of an owner's jobs and targets, and its replies to queries."""
 
 from alderreach.core import codec
 from alderreach.core.generated import common, placer
@@ -9,7 +9,7 @@
 
 
 def current_status(placing, state, wall_ms=0):
-    """Return a job's JobStatus as it stands."""
+    """Return a job's current JobStatus."""
     if state.is_final:
         return state.status
     job_id, tasks = state.job.job_id, state.job.tasks
@@ -49,7 +49,7 @@
 
 
 def counts(placing):
-    """Return the owner's gauges for the process's status."""
+    """Return the owner's counts for the process's status."""
     return {
         "targets": len(placing.members.targets),
         "placements": len(placing.placements.by_task),
@@ -97,20 +97,23 @@
 
 
 def target_row(placing, target, windows, wall_ms):
-    """Return one target's row for people."""
+    """Return one target's row for operators."""
     announcement = target.announced
-    held = placing.placements.on_worker(announcement.target_id)
+    placements = placing.placements.on_worker(announcement.target_id)
     reserved = common.Resources(
-        *(sum(kind) for kind in zip(NOTHING, *(p.task for p in held), strict=True))
+        *(
+            sum(kind)
+            for kind in zip(NOTHING, *(p.task for p in placements), strict=True)
+        )
     )
-    tasks = len(held) if announcement.kind == "worker" else announcement.slots
+    tasks = len(placements) if announcement.kind == "worker" else announcement.slots
     state = target.state
     quarantined = (
         placing.scheduler.worker_state(announcement.target_id) == "quarantined"
     )
     if state == "ready" and quarantined:
         state = "quarantined"
-    note = _describe_state(placing, target, held, windows, wall_ms, quarantined)
+    note = _describe_state(placing, target, placements, windows, wall_ms, quarantined)
     return placer.TargetRow(
         announcement.target_id,
         announcement.kind,
@@ -125,19 +128,19 @@
     )
 
 
-def _describe_state(placing, target, held, windows, wall_ms, quarantined):
+def _describe_state(placing, target, placements, windows, wall_ms, quarantined):
     announcement = target.announced
     phase = maintenance.phase_of(windows, announcement.vm, announcement.rack, wall_ms)
     if phase:
-        return f"maintenance {phase}: {_describe_readiness(held)}"
+        return f"maintenance {phase}: {_describe_readiness(placements)}"
     if not target.reported:
-        return "known from the owner before, not reported yet"
+        return "known from the previous owner, has not reported yet"
     if target.state == "suspect":
-        return "silent, or fell too often lately"
+        return "silent, or failed too often recently"
     if quarantined:
-        return "most of what it started failed"
-    if target.state == "dead" and held:
-        return f"silent; held until its fate is known: {_list_tasks(held)}"
+        return "most tasks started on it failed"
+    if target.state == "dead" and placements:
+        return f"silent; held until its fate is known: {_list_tasks(placements)}"
     if announcement.kind == "worker" and not placing.workers.is_confirmed(
         announcement.target_id
     ):
@@ -145,13 +148,13 @@
     return ""
 
 
-def _describe_readiness(held):
-    if not held:
+def _describe_readiness(placements):
+    if not placements:
         return "ready, nothing runs"
-    return f"not ready, {len(held)} tasks run: {_list_tasks(held)}"
+    return f"not ready, {len(placements)} tasks run: {_list_tasks(placements)}"
 
 
-def _list_tasks(held):
-    names = sorted(placement.record.task_id for placement in held)
+def _list_tasks(placements):
+    names = sorted(placement.record.task_id for placement in placements)
     more = ", ..." if len(names) > MAX_NAMED_TASKS else ""
     return ", ".join(names[:MAX_NAMED_TASKS]) + more
--- a/alderreach/ops/placer/takeover.py
+++ b/alderreach/ops/placer/takeover.py
@@ -1,9 +1,10 @@
-"""How a new owner takes over what its predecessor placed.
+"""How a new owner takes over the placements of the previous owner.
 
-It holds what the standby's copy of the records and the items at the keepers say runs,
-on workers it closes until each has reported to it. The records are complete if they
-are those of the epoch just before; else nothing is started until everything movable
-that the predecessor started has surely lapsed.
+It restores the placements from the standby's copy of the records and from the items at
+the keepers. Their workers are closed until each has reported to the new owner. The
+records are complete if they belong to the epoch directly before. Otherwise no task is
+started until the leases of all movable tasks that the previous owner started have
+certainly expired.
 """
 
 import typing
@@ -17,16 +18,16 @@
 
 
 class PredecessorRecord(typing.NamedTuple):
-    """A predecessor's record and the boot of the worker it was made for."""
+    """A record of the previous owner, and the boot id of the worker it was made for."""
 
     record: typing.Any
     boot_id: str
 
 
 def take_over(placing, copy, placed, now_ms):
-    """Hold what ``copy`` (a RecordCopy) and the WorkerPlacements ``placed`` tell.
+    """Restore the placements in ``copy`` (a RecordCopy) and ``placed`` (from items).
 
-    Called once, after all items were applied.
+    ``placed`` is a list of WorkerPlacements. Called once, after all items were applied.
     """
     placing.starts_from_ms = now_ms + _start_delay_ms(placing, copy)
     workers = {item.worker.worker_id: item.worker for item in placed}
@@ -38,9 +39,9 @@
         placing.add_expected(announcement, now_ms)
     for view in copy.runners.values():
         placing.add_expected(target_membership.from_runner_view(view), now_ms)
-    for held in merge(copy, placed):
-        _restore(placing, held, now_ms)
-    # Only now: a cancellation ends a job for the scheduler once nothing of it runs.
+    for candidate in merge(copy, placed):
+        _restore(placing, candidate, now_ms)
+    # Must come last: the scheduler ends a cancelled job once none of its tasks run.
     for job_id, state in placing.jobs.items():
         if state.cancelled:
             placing.cancel(job_id, now_ms)
@@ -55,9 +56,9 @@
 
 
 def merge(copy, placed):
-    """Return one Held per task, the highest attempt that either source tells of.
+    """Return one PredecessorRecord per task, with the highest attempt of both sources.
 
-    A higher attempt exists only where the lower one had surely ended.
+    A higher attempt exists only if the lower one had certainly ended.
     """
     candidates = [
         PredecessorRecord(record, copy.workers[record.worker_id].boot_id)
@@ -70,15 +71,15 @@
         for record in item.placements
     ]
     merged = {}
-    for held in candidates:
-        highest = merged.get(held.record.task_id)
-        if highest is None or held.record.attempt > highest.record.attempt:
-            merged[held.record.task_id] = held
+    for candidate in candidates:
+        highest = merged.get(candidate.record.task_id)
+        if highest is None or candidate.record.attempt > highest.record.attempt:
+            merged[candidate.record.task_id] = candidate
     return list(merged.values())
 
 
-def _restore(placing, held, now_ms):
-    record = held.record
+def _restore(placing, candidate, now_ms):
+    record = candidate.record
     state = placing.jobs.get(record.job_id)
     number = jobs.number_of(record.task_id)
     if state is None or state.is_final or number in state.finished:
@@ -88,9 +89,9 @@
             placing.record_finish(state, number, now_ms)
         return
     if record.worker_id not in placing.members.targets:
-        logging.error("record of a task on an unknown worker: %s", record)
+        logging.error("ignoring the record of a task on an unknown worker: %s", record)
         return
     placement = placements.Placement(
-        record, record.attempt, held.boot_id, state.job.task, "held"
+        record, record.attempt, candidate.boot_id, state.job.task, "held"
     )
     placing.restore(placement, state)
--- a/alderreach/ops/placer/upkeep.py
+++ b/alderreach/ops/placer/upkeep.py
@@ -1,4 +1,4 @@
-"""Clears VMs before a window stops them: nothing new, runners leave, tasks move."""
+"""Clears VMs before maintenance windows: closes workers, moves runners and tasks."""
 
 from alderreach.decisions import maintenance
 
@@ -6,12 +6,12 @@
 
 
 def apply_windows(placing, windows, wall_ms, now_ms, leaving_since_ms):
-    """Close, and clear where it is time, what the windows cover.
+    """Close the workers that windows cover, and clear them when it is time.
 
-    ``leaving_since`` maps VMs to when their runners began to leave; kept by the
-    caller from call to call. A service's task is stopped only ``RUNNER_LEAVE_MS``
-    after that: entries hear of a leaving runner at once, and those that missed it
-    with their next question.
+    ``leaving_since_ms`` maps VMs to the time when their runners began to leave; the
+    caller keeps it between calls. A service's task is stopped only ``RUNNER_LEAVE_MS``
+    after that time: entries are told of a leaving runner at once, and those that missed
+    the message learn of it from the reply to their next request.
     """
     closed, leaving, clearing = set(), set(), []
     for target_id, target in placing.members.targets.items():
@@ -44,15 +44,15 @@
 def _is_being_stopped(placing, announcement):
     """Whether a runner's own task is being stopped, as when a service shrinks.
 
-    Shown as leaving before its worker's grace is over, it gets no request that the
-    stop would cut.
+    Such a runner is shown as leaving during the grace period of the stop, so that it
+    gets no request that the stop would interrupt.
     """
     placement = placing.placements.by_task.get(announcement.task_id)
     return placement is not None and placement.state == "stopping"
 
 
 def _clear(placing, placement, remaining_ms, may_stop_runner, now_ms):
-    """End one task so that it starts elsewhere, in the way that loses least."""
+    """Stop one task so that it starts elsewhere with the least lost work."""
     if placement.state not in ("running", "starting"):
         return
     state = placing.jobs[placement.job_id]
--- a/alderreach/ops/placer/watchers.py
+++ b/alderreach/ops/placer/watchers.py
@@ -1,6 +1,7 @@
-"""The entries that watch an owner's runners, and what each was sent last.
+"""The entries that watch an owner's runners, and the last change sent to each.
 
-A change is pushed at once; what a push loses, the entry's next question brings.
+A change is pushed at once. If a push is lost, the entry gets the change in the reply to
+its next WatchTargets.
 """
 
 from alderreach.core.generated import placer
@@ -9,7 +10,7 @@
 
 
 class _Watcher:
-    """One entry's peer address."""
+    """One watching entry: the last sequence sent to it, and its last contact."""
 
     def __init__(self):
         self.sequence = 0
@@ -17,7 +18,10 @@
 
 
 class Watchers:
-    """The watching entries of one epoch; ``send(address, message)`` sends."""
+    """The watching entries of one epoch; ``send(address, message)`` sends a message.
+
+    Nothing is sent before ``publish`` was called.
+    """
 
     def __init__(self, failure_domain, epoch, members, send):
         self._failure_domain = failure_domain
@@ -29,7 +33,7 @@
         self.published = False
 
     def handle_watch(self, address, watch, now_ms):
-        """Answer a WatchTargets, and push changes to its sender from now on."""
+        """Answer a WatchTargets, and start pushing changes to its sender."""
         if not self.published:
             return
         watcher = self._watchers.setdefault(address, _Watcher())
@@ -38,7 +42,7 @@
         self._send_changes(address, watcher)
 
     def push(self, now_ms):
-        """Send what changed to all who asked lately."""
+        """Send changes to all watchers with a contact within ``WATCHER_SILENCE_MS``."""
         if not self.published or self._pushed_sequence == self._members.sequence:
             return
         self._pushed_sequence = self._members.sequence
@@ -49,7 +53,7 @@
                 self._send_changes(address, watcher)
 
     def publish(self, addresses, now_ms):
-        """Send a new owner's view to entries that have not asked it yet."""
+        """Send a new owner's view to all entries, before they send a WatchTargets."""
         self.published = True
         for address in addresses:
             watcher = self._watchers.setdefault(address, _Watcher())
--- a/alderreach/ops/placer/workers.py
+++ b/alderreach/ops/placer/workers.py
@@ -1,11 +1,11 @@
-"""Which workers the scheduler knows, and which of them may get new work."""
+"""The workers registered with the scheduler, and which of them may get new tasks."""
 
 
 class Workers:
-    """Keeps the scheduler's workers in step with what they announce.
+    """Keeps the scheduler's workers consistent with their announcements.
 
-    A worker is open once it has confirmed this owner's epoch, is ready, runs nothing
-    that is astray, and is not closed for maintenance.
+    A worker is open if it has confirmed this owner's epoch, is ready, runs no task
+    without a placement (an orphan), and is not closed for maintenance.
     """
 
     def __init__(self, scheduler, members):
@@ -17,7 +17,7 @@
         self._orphans = {}
 
     def add(self, announcement):
-        """Have the scheduler know a worker, with its capacity as last announced."""
+        """Register a worker with the scheduler, or update its capacity."""
         worker_id = announcement.target_id
         if self._capacities.get(worker_id) == announcement.capacity:
             return
@@ -28,13 +28,13 @@
         self.update_open(worker_id)
 
     def remove(self, worker_id):
-        """Have the scheduler forget a worker."""
+        """Remove a worker from the scheduler."""
         if self._capacities.pop(worker_id, None) is not None:
             self._scheduler.remove_worker(worker_id)
         self._confirmed.discard(worker_id)
 
     def update_open(self, worker_id):
-        """Open a worker for new tasks, or close it, as its state says."""
+        """Open or close a worker for new tasks according to its state."""
         if worker_id not in self._capacities:
             return
         target = self._members.targets.get(worker_id)
@@ -48,34 +48,34 @@
         self._scheduler.set_open(worker_id, is_open)
 
     def set_closed(self, worker_ids):
-        """Close these workers for new tasks, and reopen those closed before."""
+        """Close these workers for new tasks; reopen those that are no longer listed."""
         changed = self._closed ^ frozenset(worker_ids)
         self._closed = frozenset(worker_ids)
         for worker_id in changed:
             self.update_open(worker_id)
 
     def confirm(self, worker_id):
-        """Note that a worker has told that it knows this epoch."""
+        """Record that a worker has reported this epoch."""
         self._confirmed.add(worker_id)
 
     def is_confirmed(self, worker_id):
-        """Whether a worker has told that it knows this epoch."""
+        """Whether a worker has reported this epoch."""
         return worker_id in self._confirmed
 
     def on_restarted(self, worker_id):
-        """Another boot: it must confirm anew, and what was astray is gone."""
+        """Handle a new boot: the worker must confirm again and has no orphans."""
         self._confirmed.discard(worker_id)
         self._orphans.pop(worker_id, None)
 
     def add_orphan(self, worker_id, task_id):
-        """Note a running task that is not placed; False if it was noted before."""
+        """Record a running task without a placement; False if already recorded."""
         orphans = self._orphans.setdefault(worker_id, set())
         was_known = task_id in orphans
         orphans.add(task_id)
         return not was_known
 
     def retain_orphans(self, worker_id, running):
-        """Forget the worker's orphans that it does not report as running."""
+        """Remove the worker's orphans that it no longer reports as running."""
         orphans = self._orphans.pop(worker_id, set()) & running
         if orphans:
             self._orphans[worker_id] = orphans
