--- a/alderreach/ops/daemon.py
+++ b/alderreach/ops/daemon.py
@@ -1,13 +1,15 @@
-"""What the three daemons share: settings, logs, time line, peers, probes, shutdown.
+"""Code shared by all daemons: settings, logs, time line, peers, probes, shutdown.
 
-A role gives ``build(context)``, which returns an object with these methods:
+A role provides ``build(context)``, which returns an object with these methods:
 
-- ``deliver(received)``: put a peer's message into the role's mailbox.
-- ``status()``: a ``RoleStatus`` from published, immutable state; any thread may call.
-- ``drain()``: finish what is in flight and hand over; returns when done, at the latest
-  after ``timing.drain_ms``. Readiness is already off when it is called.
+- ``deliver(received)``: add a peer's message to the role's mailbox.
+- ``status()``: return a ``RoleStatus`` from published, immutable state; may be called
+  on any thread.
+- ``drain()``: finish requests in flight and hand over; returns when done, at the latest
+  after ``timing.drain_ms``. The process already reports not ready when it is called.
 
-Whatever the role opens it puts on ``context.stack``, which closes it in reverse order.
+The role registers everything it opens with ``context.stack``, which closes it in
+reverse order.
 """
 
 import contextlib
@@ -38,12 +40,12 @@
 USAGE = "usage: alderreach-{role} SETTINGS.toml"
 EXIT_BAD_SETTINGS = 2
 PLATFORM_THREADS = 2
-# Their events go to standard output, not into files of their own.
+# Roles whose events go to standard output instead of timeline files.
 STDOUT_ROLES = ("controller", "frontend")
 
 
 class RoleStatus(typing.NamedTuple):
-    """A role's state for ``status`` and readiness."""
+    """A role's state for status replies and the readiness probe."""
 
     version_in_force: int
     state: str
@@ -52,7 +54,7 @@
 
 
 class Context(typing.NamedTuple):
-    """What a role is given; ``draining`` is set when a graceful shutdown starts."""
+    """The environment of a role; ``draining`` is set at the start of a shutdown."""
 
     role: str
     settings: settings_parser.Settings
@@ -67,7 +69,7 @@
 
 
 class _LogHandler(std_logging.Handler):
-    """Puts plain log messages among the structured events."""
+    """Records plain log messages as structured events."""
 
     def __init__(self, events):
         super().__init__()
@@ -82,7 +84,7 @@
 
 
 class _Dispatcher:
-    """Gives peers' messages to the role once it is built; answers queries itself."""
+    """Passes peers' messages to the role once it is built; answers queries itself."""
 
     def __init__(self):
         self.role = None
@@ -123,7 +125,7 @@
 def main(role, build, arguments=None):
     """Run a daemon from its settings file until SIGTERM; returns the exit code.
 
-    Exits 2 after printing every mistake of the settings, with file, line and key.
+    Returns 2 after printing every mistake in the settings, with file, line and key.
     """
     arguments = sys.argv[1:] if arguments is None else arguments
     if len(arguments) != 1:
@@ -163,7 +165,7 @@
 
 
 def _open_events(role, settings, boot_id, stack):
-    """Where a daemon's events go: standard output, or a time line in files."""
+    """Open the destination of events: standard output, or a time line in files."""
     process, limits = settings.process, settings.limits
     if role in STDOUT_ROLES:
         events = event_log.EventLog(process.name, boot_id, role, clocks.SYSTEM)
@@ -225,15 +227,15 @@
             os._exit(1)
         stopping.set()
 
-    # A hangup says that the settings file changed, which its watch sees by itself;
-    # left to its default it would end the process.
+    # SIGHUP announces a change of the settings file, which the settings watch detects
+    # by itself; the default action would terminate the process.
     signal.signal(signal.SIGHUP, lambda _number, _frame: None)
     signal.signal(signal.SIGTERM, stop)
     signal.signal(signal.SIGINT, stop)
 
 
 def platform_answer(context, role, path):
-    """Answer /livez, /readyz or /metrics as (status line, body); None for others."""
+    """Answer /livez, /readyz or /metrics with (status line, body), others with None."""
     if path == "/livez":
         return "200 OK", b"live\n"
     if path == "/readyz":
--- a/alderreach/ops/gateway.py
+++ b/alderreach/ops/gateway.py
@@ -1,12 +1,14 @@
-"""A process's dealings with the keepers and its questions to other processes.
+"""A process's communication with the keepers, and its queries to other processes.
 
 One task owns the copy of the replicated map, the pending requests to the keepers and
-the pending questions to peers. HTTP threads and the role's own task use it through
-thread-safe calls; answers come through a callback (on the gateway's thread) or a wait.
-
-The copy stays usable without a quorum: a process that can't learn the latest serves on
-the last it has, and ``is_current`` says whether it lately heard from a keeper. The copy
-is kept in a file too, so that a process restarted during a cut has the last one.
+the pending queries to peers. HTTP threads and the role's own task use it through
+thread-safe calls; results come through a callback on the gateway's thread, or the
+caller waits for them.
+
+The copy stays usable without a quorum: a process that can't get newer versions
+continues with the last one, and ``is_current`` tells whether a keeper responded
+recently. The copy is also saved to a file, so that a process restarted during a network
+partition has the last one.
 """
 
 import itertools
@@ -26,12 +28,11 @@
 SAVE_INTERVAL_MS = 1000
 COPY_FILE = "configuration.copy"
 
-
 KEEPER_MESSAGES = (keeper.KeeperReply, keeper.ItemsPush, keeper.ItemsReplaced)
 
 
 class _Request(typing.NamedTuple):
-    """A command for the keepers."""
+    """A command for the keepers, passed to the task."""
 
     command: bytes
     on_done: typing.Callable
@@ -39,9 +40,9 @@
 
 
 class Gateway:
-    """The task; ``on_items(changed, copy)`` is called on its thread.
+    """The gateway's task; ``on_items(changed, copy)`` is called on its thread.
 
-    ``prefixes`` says which items are wanted, such as ``("team/", "workload/")``.
+    ``prefixes`` selects the items to follow, such as ``("team/", "workload/")``.
     """
 
     def __init__(self, context, prefixes, on_items=lambda changed, copy: None):
@@ -75,17 +76,17 @@
         return self
 
     def close(self):
-        """End the task."""
+        """Stop the task."""
         self._task.close()
 
     @property
     def items(self):
-        """The copy of the map as it is now; immutable, readable from any thread."""
+        """The current copy of the map; immutable, readable from any thread."""
         return self._copy
 
     @property
     def is_current(self):
-        """Whether a keeper was heard lately and nothing newer is known of."""
+        """Whether a keeper responded recently and no newer version is known."""
         interval_ms = self._context.settings.timing.follow_interval_ms
         limit_ms = CURRENT_WITHIN_INTERVALS * interval_ms
         last_contact_ms = self._last_contact_ms
@@ -96,7 +97,7 @@
         return is_recent and self._copy.version >= self._latest_version
 
     def deliver(self, received):
-        """Take a peer's message meant for the gateway; False if it is for another."""
+        """Accept a peer's message for the gateway; returns False for other messages."""
         message = received.message
         is_from_keeper = isinstance(message, KEEPER_MESSAGES)
         if is_from_keeper or getattr(message, "request_id", None) in self._queries:
@@ -105,7 +106,7 @@
         return False
 
     def request(self, command, on_done, timeout_ms):
-        """Send a command message; ``done(Outcome)`` is called once, by the gateway."""
+        """Send a command; ``on_done(Outcome)`` is called once, on the task's thread."""
         self._task.put(_Request(codec.pack(command), on_done, timeout_ms))
 
     def ask_keepers(self, command, timeout_ms):
@@ -116,9 +117,9 @@
         return answer or keeper_client.Outcome("uncertain", b"")
 
     def ask_peer(self, address, message, timeout_ms):
-        """Send a message that has a ``request_id`` and wait for the reply, or None.
+        """Send a message with a ``request_id``; returns the reply, or None on timeout.
 
-        The message's request id is replaced by a fresh one.
+        The message's request id is replaced by a new one.
         """
         ticket = tasks.Ticket()
         message = message._replace(request_id=uuid.uuid4().hex)
@@ -197,13 +198,14 @@
             return replica.EMPTY
         except (OSError, msgspec.MsgspecError) as error:
             logging.warning(
-                "configuration copy not readable, starting empty: %s", error
+                "can't read the configuration copy; starting with an empty one: %s",
+                error,
             )
             return replica.EMPTY
         return replica.Replica(version, {item.key: item for item in items})
 
     def _save(self):
-        """Keep the copy for a restart; without a disk the process goes on."""
+        """Save the copy for a restart; the process continues if the write fails."""
         if self._copy.version == self._saved_version:
             return
         data = msgspec.msgpack.encode(
@@ -214,5 +216,5 @@
             self._saved_version = self._copy.version
         except OSError as error:
             logging.log_every_n_seconds(
-                logging.WARNING, "configuration copy not saved: %s", 60, error
+                logging.WARNING, "can't save the configuration copy: %s", 60, error
             )
--- a/alderreach/ops/keeper_client.py
+++ b/alderreach/ops/keeper_client.py
@@ -1,12 +1,12 @@
-"""Requests of a task to the keepers: find the leader, resend, tell how it ended.
+"""Requests of a task to the keepers: finds the leader, resends, reports the outcome.
 
-Every command may be sent twice: writes carry an idempotency key, claims their request
-id, grants the epoch they expect. The client therefore resends freely until the
-deadline. What it reports at the end is exact: ``no_quorum`` only if each copy it sent
-was refused before being appended, else ``uncertain``.
+Every command is safe to repeat: writes have an idempotency key, claims their request
+id, and grants the epoch they expect. The client therefore resends until the deadline.
+A timeout is reported as ``no_quorum`` only if each copy sent was refused before it was
+appended to the log, otherwise as ``uncertain``.
 
-The client belongs to one task; it owns no socket and no thread. The task feeds it the
-keepers' replies and its own ticks.
+The client belongs to one task and owns no socket and no thread. The task passes it the
+keepers' replies and calls ``tick``.
 """
 
 import typing
@@ -19,14 +19,14 @@
 
 
 class Outcome(typing.NamedTuple):
-    """How a request ended: status ok, no_quorum or uncertain; result if ok."""
+    """The end of a request: status ok, no_quorum or uncertain; a result if ok."""
 
     status: str
     result: bytes
 
 
 class _Pending:
-    """A request that has not ended."""
+    """A pending request; ``unanswered`` counts its copies without a reply."""
 
     def __init__(self, command, on_done, deadline_ms):
         self.command = command
@@ -38,7 +38,7 @@
 
 
 class KeeperClient:
-    """Pending requests of one task and the keeper it believes to lead.
+    """Pending requests of one task, and the keeper assumed to be the leader.
 
     ``addresses`` maps each keeper's process name to its peer address; ``send`` is
     called with an address and a message.
@@ -52,13 +52,13 @@
         self._pending = {}
 
     def request(self, command, on_done, now_ms, timeout_ms):
-        """Send a packed command; ``done(Outcome)`` is called once, by the task."""
+        """Send a packed command; ``on_done(Outcome)`` is called once, by the task."""
         request_id = uuid.uuid4().hex
         self._pending[request_id] = _Pending(command, on_done, now_ms + timeout_ms)
         self._transmit(request_id, now_ms)
 
     def handle(self, reply, now_ms):
-        """Take a KeeperReply."""
+        """Handle a KeeperReply: end the request, or resend it."""
         pending = self._pending.get(reply.request_id)
         if pending is None:
             return
@@ -78,7 +78,7 @@
             self._transmit(reply.request_id, now_ms)
 
     def tick(self, now_ms):
-        """Resend what is due and end what is past its deadline."""
+        """Resend requests that are due, and end those past their deadline."""
         for request_id, pending in list(self._pending.items()):
             if now_ms >= pending.deadline_ms:
                 self._end_request(request_id, Outcome(_timeout_status(pending), b""))
@@ -88,7 +88,7 @@
                 self._transmit(request_id, now_ms)
 
     def next_due_ms(self, default_ms):
-        """When ``tick`` next has something to do; ``default_ms`` if nothing pends."""
+        """When ``tick`` next has something to do; ``default_ms`` without a request."""
         due = (
             min(pending.deadline_ms, pending.next_send_ms)
             for pending in self._pending.values()
--- a/alderreach/ops/leader_calls.py
+++ b/alderreach/ops/leader_calls.py
@@ -1,14 +1,14 @@
 """Requests to the cell's leader, retried until there is an answer or a deadline.
 
-All requests are idempotent: a job and a configuration bear ids of their callers'
-choosing. So an attempt without an answer is repeated, at the same controller or at
-another, and only the last word depends on what happened: if every attempt was surely
-not taken, the caller may be told so; if one may have been, nothing is claimed.
-
-Answers carry the epoch of the leadership, and one that is older than another already
-heard here comes from a deposed leader and is thrown away. Without an answer the next
-controller is asked after ``ATTEMPT_MS``. Where no controller can be reached the call
-ends at once, so that its sender can go to another process while it still has time.
+All requests are idempotent: jobs and configurations have ids chosen by their callers.
+An attempt without an answer is therefore repeated, with the same controller or another
+one. Only the final outcome depends on the attempts: if each was certainly not executed,
+the caller may be told so; if one may have been, the outcome stays open.
+
+Answers contain the epoch of the leadership. An answer with a lower epoch than one
+received before comes from a deposed leader and is discarded. Without an answer the next
+controller is tried after ``ATTEMPT_MS``. If no controller can be reached, the call ends
+at once, so that its sender can try another process while there is still time.
 """
 
 import itertools
@@ -21,29 +21,31 @@
 from alderreach.core.generated import cell
 from alderreach.utils import tasks
 
-# Several times a commit on a busy quorum; a tenth of a caller's usual patience.
+# Several times the duration of a commit on a busy quorum, and a tenth of a caller's
+# usual timeout.
 ATTEMPT_MS = 400
-# Between two rounds through all controllers while none of them leads.
+# Pause between two rounds through all controllers while none of them leads.
 ROUND_PAUSE_MS = 60
-# Without any leader a request that surely was not taken is turned away after this, so
-# that its caller can come back when there is one. An election takes a second.
+# A request that was certainly not executed is rejected after this time without a
+# leader, so that its caller can retry when there is one. An election takes a second.
 MAX_LEADERLESS_MS = 1500
-# Heartbeats that are answered sooner are too many and too alike for a line each.
+# Announcements answered faster are not logged, as they are numerous and alike.
 SLOW_CALL_MS = 200
 
 
 class Outcome(typing.NamedTuple):
-    """The leader's ``cell.CellAnswer``, or None with whether it may have acted."""
+    """The leader's ``cell.CellAnswer`` or None, and whether it may have acted."""
 
     answer: typing.Any
     may_have_acted: bool
 
 
 class LeaderCalls:
-    """Used by HTTP threads; ``deliver`` takes replies on any thread.
+    """Calls to the leader from HTTP threads; ``deliver`` may be called on any thread.
 
     ``addresses()`` lists the controllers to try, the leader's first, ``is_isolated()``
-    says that none of them can help, and ``record`` takes an event for each request.
+    tells whether none of them can be reached, and ``record`` records an event for each
+    request.
     """
 
     def __init__(self, name, addresses, is_isolated, send, clock, record):
@@ -60,14 +62,14 @@
         self._leader_hint = ""
 
     def deliver(self, reply):
-        """Give a ``cell.CellReply`` to who waits for it."""
+        """Pass a ``cell.CellReply`` to the call that waits for it."""
         with self._lock:
             ticket = self._waiting.pop(reply.request_id, None)
         if ticket is not None:
             ticket.answer(reply)
 
     def call(self, request, deadline_ms):
-        """Ask until there is an answer, at the longest until ``give_up_ms``."""
+        """Repeat the request until there is an answer or ``deadline_ms`` is reached."""
         started_ms = self._clock.monotonic_ms()
         outcome, attempts = self._call(request, started_ms, deadline_ms)
         took_ms = self._clock.monotonic_ms() - started_ms
@@ -88,7 +90,7 @@
         return outcome
 
     def _call(self, request, started_ms, deadline_ms):
-        """Returns the Outcome and how many attempts it took."""
+        """Return the Outcome and the number of attempts."""
         payload = codec.pack(request)
         may_have_acted = False
         attempts = 0
@@ -125,7 +127,7 @@
         return None
 
     def _follow_hint(self, leader, address, tried):
-        """Go where a controller says the leader is, unless that one just denied it."""
+        """Next try the leader that a controller names, unless it was already tried."""
         self._leader_hint = leader if leader != address and leader not in tried else ""
 
     def _attempt(self, address, payload, wait_ms):
--- a/alderreach/ops/target_wire.py
+++ b/alderreach/ops/target_wire.py
@@ -1,7 +1,8 @@
-"""The targets' wire of docs/INTERFACES.md, in both directions, and nothing else.
+"""The targets' wire protocol of docs/INTERFACES.md, in both directions.
 
-Announcements are checked whole before anything is done with them; commands are encoded
-and their answers read here. Another wire is fitted by writing another such module.
+Announcements are checked in full before they are used. Commands are encoded and their
+answers decoded here. This module alone depends on the protocol: to support another one,
+write another such module.
 """
 
 import typing
@@ -75,7 +76,7 @@
 
 
 class Batch(typing.NamedTuple):
-    """Commands for one worker; ``announced`` is the last sequence heard of it."""
+    """Commands for one worker; ``announced`` is its last announced sequence."""
 
     worker_id: str
     address: str
@@ -86,7 +87,7 @@
 
 
 class CommandResult(typing.NamedTuple):
-    """A worker's word on one command."""
+    """A worker's answer to one command."""
 
     task_id: str
     attempt: int
@@ -97,8 +98,8 @@
 class BatchResult(typing.NamedTuple):
     """How a batch ended.
 
-    ``status`` is answered, unsent (surely nothing arrived), epoch or boot or late
-    (refused whole) or uncertain (it may have arrived, and may still arrive).
+    ``status`` is answered, unsent (it certainly did not arrive), epoch, boot or late
+    (refused in full), or uncertain (it may have arrived, or may still arrive).
     """
 
     batch: Batch
@@ -122,7 +123,7 @@
 
 
 def _find_mistake(fields):
-    """Say what is wrong beyond the types, or return an empty text."""
+    """Return a mistake that the types do not cover, or an empty text."""
     host, _, port = fields["address"].rpartition(":")
     if not host or not port.isdigit():
         return "address is not host:port"
@@ -130,12 +131,12 @@
         return "boot_id is empty"
     if fields["kind"] == "runner":
         if not fields.get("service"):
-            return "a runner names its service"
+            return "a runner must name its service"
         if fields.get("slots", 0) < 1 or fields.get("connections", 0) < 1:
-            return "a runner has at least one slot and one connection"
+            return "a runner must have at least one slot and one connection"
         return ""
     if "capacity" not in fields:
-        return "a worker names its capacity"
+        return "a worker must state its capacity"
     if min(fields["capacity"].values()) < 0:
         return "capacity is negative"
     return ""
@@ -191,7 +192,7 @@
 
 
 def misdirected_answer(owner_address):
-    """Return the body of a 421 answer."""
+    """Return the body of a 421 answer, which refers the target to the owner."""
     return msgspec.json.encode({"owner_address": owner_address})
 
 
@@ -217,7 +218,7 @@
 
 
 class WorkerClient:
-    """Sends batches over kept connections; usable from several threads."""
+    """Sends batches over persistent connections; thread-safe."""
 
     def __init__(self):
         self._pools = urllib3.PoolManager(
@@ -228,11 +229,11 @@
         )
 
     def close(self):
-        """Close the kept connections."""
+        """Close the persistent connections."""
         self._pools.clear()
 
     def send(self, batch):
-        """Send a batch and read its answer; returns a BatchResult, raises nothing."""
+        """Send a batch and read the answer; returns a BatchResult and never raises."""
         body = msgspec.json.encode(
             {
                 "epoch": batch.epoch,
@@ -257,7 +258,7 @@
 
 
 def read_answer(batch, status, body):
-    """Read a worker's answer; what makes no sense counts as uncertain."""
+    """Read a worker's answer; an invalid one counts as uncertain."""
     uncertain = BatchResult(batch, "uncertain", (), 0)
     try:
         fields = _answer_decoder.decode(body[:MAX_ANSWER_BYTES])
