--- a/alderreach/ops/leader_calls.py
+++ b/alderreach/ops/leader_calls.py
@@ -1,14 +1,14 @@
 """Requests to the cell's leader, retried until there is an answer or a deadline.
 
-All requests are idempotent: a job and a configuration bear ids of their callers'
-choosing. So an attempt without an answer is repeated, at the same controller or at
-another, and only the last word depends on what happened: if every attempt was surely
-not taken, the caller may be told so; if one may have been, nothing is claimed.
-
-Answers carry the epoch of the leadership, and one that is older than another already
-heard here comes from a deposed leader and is thrown away. Without an answer the next
-controller is asked after ``ATTEMPT_MS``. Where no controller can be reached the call
-ends at once, so that its sender can go to another process while it still has time.
+All requests are idempotent: jobs and configurations have ids chosen by their callers.
+An attempt without an answer is therefore repeated, with the same controller or another
+one. Only the final outcome depends on the attempts: if each was certainly not executed,
+the caller may be told so; if one may have been, the outcome stays open.
+
+Answers contain the epoch of the leadership. An answer with a lower epoch than one
+received before comes from a deposed leader and is discarded. Without an answer the next
+controller is tried after ``ATTEMPT_MS``. If no controller can be reached, the call ends
+at once, so that its sender can try another process while there is still time.
 """
 
 import itertools
@@ -21,29 +21,31 @@
 from alderreach.core.generated import cell
 from alderreach.utils import tasks
 
-# Several times a commit on a busy quorum; a tenth of a caller's usual patience.
+# Several times the duration of a commit on a busy quorum, and a tenth of a caller's
+# usual timeout.
 ATTEMPT_MS = 400
-# Between two rounds through all controllers while none of them leads.
+# Pause between two rounds through all controllers while none of them leads.
 ROUND_PAUSE_MS = 60
-# Without any leader a request that surely was not taken is turned away after this, so
-# that its caller can come back when there is one. An election takes a second.
-LEADERLESS_MS = 1500
-# Heartbeats that are answered sooner are too many and too alike for a line each.
-SLOW_MS = 200
+# A request that was certainly not executed is rejected after this time without a
+# leader, so that its caller can retry when there is one. An election takes a second.
+MAX_LEADERLESS_MS = 1500
+# Announcements answered faster are not logged, as they are numerous and alike.
+SLOW_CALL_MS = 200
 
 
 class Outcome(typing.NamedTuple):
-    """The leader's ``cell.CellAnswer``, or None with whether it may have acted."""
+    """The leader's ``cell.CellAnswer`` or None, and whether it may have acted."""
 
     answer: typing.Any
     may_have_acted: bool
 
 
 class LeaderCalls:
-    """Used by HTTP threads; ``deliver`` takes replies on any thread.
+    """Calls to the leader from HTTP threads; ``deliver`` may be called on any thread.
 
     ``addresses()`` lists the controllers to try, the leader's first, ``is_isolated()``
-    says that none of them can help, and ``record`` takes an event for each request.
+    tells whether none of them can be reached, and ``record`` records an event for each
+    request.
     """
 
     def __init__(self, name, addresses, is_isolated, send, clock, record):
@@ -56,22 +58,22 @@
         self._record = record
         self._lock = threading.Lock()
         self._waiting = {}
-        self._newest_epoch = 0
-        self._hint = ""
+        self._highest_epoch = 0
+        self._leader_hint = ""
 
     def deliver(self, reply):
-        """Give a ``cell.CellReply`` to who waits for it."""
+        """Pass a ``cell.CellReply`` to the call that waits for it."""
         with self._lock:
             ticket = self._waiting.pop(reply.request_id, None)
         if ticket is not None:
             ticket.answer(reply)
 
-    def call(self, request, give_up_ms):
-        """Ask until there is an answer, at the longest until ``give_up_ms``."""
+    def call(self, request, deadline_ms):
+        """Repeat the request until there is an answer or ``deadline_ms`` is reached."""
         started_ms = self._clock.monotonic_ms()
-        outcome, attempts = self._call(request, started_ms, give_up_ms)
+        outcome, attempts = self._call(request, started_ms, deadline_ms)
         took_ms = self._clock.monotonic_ms() - started_ms
-        is_routine = isinstance(request, cell.AnnounceTarget) and took_ms < SLOW_MS
+        is_routine = isinstance(request, cell.AnnounceTarget) and took_ms < SLOW_CALL_MS
         if outcome.answer is None or not is_routine:
             self._record(
                 "request_answered",
@@ -82,35 +84,35 @@
                 may_have_acted=outcome.may_have_acted,
                 attempts=attempts,
                 took_ms=took_ms,
-                patience_ms=give_up_ms - started_ms,
-                epoch=self._newest_epoch,
+                patience_ms=deadline_ms - started_ms,
+                epoch=self._highest_epoch,
             )
         return outcome
 
-    def _call(self, request, started_ms, give_up_ms):
-        """Returns the Outcome and how many attempts it took."""
+    def _call(self, request, started_ms, deadline_ms):
+        """Return the Outcome and the number of attempts."""
         payload = codec.pack(request)
         may_have_acted = False
         attempts = 0
         tried = set()
-        while (left_ms := give_up_ms - self._clock.monotonic_ms()) > 0:
+        while (remaining_ms := deadline_ms - self._clock.monotonic_ms()) > 0:
             if self._is_isolated():
                 break
             address = self._next_address(tried)
             if address is None:
                 waited_ms = self._clock.monotonic_ms() - started_ms
-                if waited_ms >= LEADERLESS_MS and not may_have_acted:
+                if waited_ms >= MAX_LEADERLESS_MS and not may_have_acted:
                     break
                 tried.clear()
-                time.sleep(min(ROUND_PAUSE_MS, left_ms) / 1000)
+                time.sleep(min(ROUND_PAUSE_MS, remaining_ms) / 1000)
                 continue
             tried.add(address)
             attempts += 1
-            reply = self._attempt(address, payload, min(ATTEMPT_MS, left_ms))
+            reply = self._attempt(address, payload, min(ATTEMPT_MS, remaining_ms))
             if reply is None:
                 may_have_acted = True
-                self._hint = ""
-            elif reply.status == "answered" and self._is_newest(reply.epoch):
+                self._leader_hint = ""
+            elif reply.status == "answered" and self._accept_epoch(reply.epoch):
                 return Outcome(codec.unpack(reply.payload).unwrap(), True), attempts
             elif reply.status == "answered":
                 may_have_acted = True
@@ -119,14 +121,14 @@
         return Outcome(None, may_have_acted), attempts
 
     def _next_address(self, tried):
-        for address in (self._hint, *self._addresses()):
+        for address in (self._leader_hint, *self._addresses()):
             if address and address not in tried:
                 return address
         return None
 
-    def _follow_hint(self, leader, asked, tried):
-        """Go where a controller says the leader is, unless that one just denied it."""
-        self._hint = leader if leader != asked and leader not in tried else ""
+    def _follow_hint(self, leader, address, tried):
+        """Next try the leader that a controller names, unless it was already tried."""
+        self._leader_hint = leader if leader != address and leader not in tried else ""
 
     def _attempt(self, address, payload, wait_ms):
         request_id = f"{self._prefix}/{next(self._numbers)}"
@@ -139,9 +141,9 @@
             self._waiting.pop(request_id, None)
         return reply
 
-    def _is_newest(self, epoch):
+    def _accept_epoch(self, epoch):
         with self._lock:
-            if epoch < self._newest_epoch:
+            if epoch < self._highest_epoch:
                 return False
-            self._newest_epoch = epoch
+            self._highest_epoch = epoch
             return True
--- a/alderreach/ops/placer/commands.py
+++ b/alderreach/ops/placer/commands.py
@@ -1,8 +1,8 @@
-"""When which command goes to which worker: one batch a worker under way, resent.
+"""Schedules commands to workers: at most one batch per worker in flight, with resends.
 
-A command that no answer came for is sent again: workers take a repeated run as known.
-Commands are made at the last moment, so that a task whose fate changed while its
-command waited gets the newer command, or none.
+A command without an answer is sent again: workers accept a repeated run command as
+already known. Commands are created only when their batch is sent, so that a task whose
+state changed while its command was queued gets the newer command, or none.
 """
 
 import heapq
@@ -16,14 +16,18 @@
 
 
 class Commands:
-    """Commands of one owner; ``lapse_ms`` is how long an unanswered run may arrive."""
+    """Commands of one owner.
 
-    def __init__(self, epoch, placements, members, jobs, lapse_ms):
+    ``lease_expiry_ms`` is the time during which an unanswered run command can still
+    start its attempt.
+    """
+
+    def __init__(self, epoch, placements, members, jobs, lease_expiry_ms):
         self._epoch = epoch
         self._placements = placements
         self._members = members
         self._jobs = jobs
-        self._lapse_ms = lapse_ms
+        self._lease_expiry_ms = lease_expiry_ms
         self._due = []
         self._due_count = 0
         self._outgoing = {}
@@ -31,21 +35,24 @@
         self._in_flight = set()
 
     def push_due(self, placement, due_ms):
-        """Look after this placement's commands at ``due_ms``."""
+        """Check at ``due_ms`` which command the placement needs."""
         self._due_count += 1
         heapq.heappush(self._due, (due_ms, self._due_count, placement))
 
     def has_work(self, until_ms):
-        """Whether anything waits to be sent, or is due by then."""
+        """Whether a command is queued, or is due at ``until_ms`` or earlier."""
         due = bool(self._due) and self._due[0][0] <= until_ms
         return due or bool(self._outgoing) or bool(self._strays)
 
     def stop_stray(self, worker_id, task_id, attempt):
-        """Have an attempt stopped that no placement stands for."""
+        """Queue a stop command for an attempt without a placement."""
         self._strays.setdefault(worker_id, set()).add((task_id, attempt))
 
     def queue_due(self, now_ms):
-        """Queue what is due; returns placements whose refused run is now certain."""
+        """Queue the commands that are due; returns placements with a final refusal.
+
+        A refusal is final once no other copy of the run command can start the attempt.
+        """
         refused = []
         while self._due and self._due[0][0] <= now_ms:
             placement = heapq.heappop(self._due)[2]
@@ -61,7 +68,7 @@
         return refused
 
     def _queue(self, placement, now_ms):
-        """Queue a command, unless its worker is out of reach."""
+        """Queue a command, or check again later if its worker is unreachable."""
         target = self._members.targets.get(placement.record.worker_id)
         if target is None or not target.reported or target.state == "dead":
             self.push_due(placement, now_ms + RESEND_MS)
@@ -70,33 +77,33 @@
         queue[placement.record.task_id] = placement
 
     def batches(self):
-        """Return the batches to send now: one a worker, none while one is under way."""
+        """Return the batches to send now, for workers that have none in flight."""
         waiting = [
             *self._outgoing,
             *(w for w in self._strays if w not in self._outgoing),
         ]
         ready = [worker_id for worker_id in waiting if worker_id not in self._in_flight]
-        made = [self._batch(worker_id) for worker_id in ready]
-        return [batch for batch in made if batch is not None]
+        batches = [self._make_batch(worker_id) for worker_id in ready]
+        return [batch for batch in batches if batch is not None]
 
-    def _batch(self, worker_id):
+    def _make_batch(self, worker_id):
         target = self._members.targets.get(worker_id)
-        commands = self._take(worker_id)
+        commands = self._pop_commands(worker_id)
         if target is None or not commands:
             return None
         self._in_flight.add(worker_id)
-        told = target.announced
+        announcement = target.announced
         return target_wire.Batch(
             worker_id,
-            told.address,
-            told.boot_id,
+            announcement.address,
+            announcement.boot_id,
             self._epoch,
-            told.sequence,
+            announcement.sequence,
             tuple(commands),
         )
 
-    def _take(self, worker_id):
-        """Take the worker's commands off the queue, made as of now."""
+    def _pop_commands(self, worker_id):
+        """Remove the worker's commands from the queue, based on the current state."""
         commands = [
             target_wire.end_command("stop", task_id, attempt, STOP_GRACE_MS)
             for task_id, attempt in self._strays.pop(worker_id, ())
@@ -105,12 +112,12 @@
         for task_id in list(queue)[:COMMANDS_PER_BATCH]:
             placement = queue.pop(task_id)
             if self._placements.is_current(placement):
-                commands += self._command(placement)
+                commands += self._make_commands(placement)
         if not queue:
             self._outgoing.pop(worker_id, None)
         return commands
 
-    def _command(self, placement):
+    def _make_commands(self, placement):
         record = placement.record
         if placement.state == "starting" and not placement.refused:
             state = self._jobs[record.job_id]
@@ -123,23 +130,28 @@
                 placement.end_command, record.task_id, record.attempt, STOP_GRACE_MS
             )
 
-    def answered(self, result, now_ms):
-        """Take a BatchResult; yields (placement, command, CommandResult) of answers."""
+    def match_answers(self, result, now_ms):
+        """Match a result to placements: yields (placement, command, CommandResult).
+
+        Commands without an answer are scheduled again.
+        """
         batch = result.batch
         self._in_flight.discard(batch.worker_id)
-        told = {(r.task_id, r.attempt): r for r in result.results}
+        answers = {(r.task_id, r.attempt): r for r in result.results}
         for command in batch.commands:
             placement = self._placements.by_task.get(command["task_id"])
             if placement is None or placement.record.attempt != command["attempt"]:
                 continue
-            answer = told.get(placement.key)
+            answer = answers.get(placement.key)
             if answer is None:
-                self._unanswered(placement, command, result.status, now_ms)
+                self._retry_unanswered(placement, command, result.status, now_ms)
             else:
                 yield placement, command["command"], answer
 
-    def _unanswered(self, placement, command, status, now_ms):
+    def _retry_unanswered(self, placement, command, status, now_ms):
         if status in ("uncertain", "answered") and command["command"] == "run":
-            placement.may_start_until_ms = now_ms + self._lapse_ms
-        soon = status in ("unsent", "late")
-        self.push_due(placement, now_ms + (UNSENT_RETRY_MS if soon else RESEND_MS))
+            placement.may_start_until_ms = now_ms + self._lease_expiry_ms
+        is_quick_retry = status in ("unsent", "late")
+        self.push_due(
+            placement, now_ms + (UNSENT_RETRY_MS if is_quick_retry else RESEND_MS)
+        )
