--- a/alderreach/parser/configuration.py
+++ b/alderreach/parser/configuration.py
@@ -54,53 +54,57 @@
 
 def check_team(team):
     """Check a team on its own."""
-    found = _Found(team_key(team.name))
-    found.name("name", team.name)
-    found.choice("objective", team.objective, OBJECTIVES)
-    found.within("weight", team.weight, 1, WEIGHT_MAX)
-    found.within("quota.cpu_millis", team.quota.cpu_millis, 1, QUOTA_CPU_MILLIS_MAX)
-    found.within("quota.memory_mb", team.quota.memory_mb, 1, QUOTA_MEMORY_MB_MAX)
-    found.within(
+    checker = _ItemChecker(team_key(team.name))
+    checker.check_name("name", team.name)
+    checker.check_choice("objective", team.objective, OBJECTIVES)
+    checker.check_range("weight", team.weight, 1, WEIGHT_MAX)
+    checker.check_range(
+        "quota.cpu_millis", team.quota.cpu_millis, 1, QUOTA_CPU_MILLIS_MAX
+    )
+    checker.check_range("quota.memory_mb", team.quota.memory_mb, 1, QUOTA_MEMORY_MB_MAX)
+    checker.check_range(
         "quota.accelerators", team.quota.accelerators, 0, QUOTA_ACCELERATORS_MAX
     )
-    return found.mistakes
+    return checker.mistakes
 
 
 def check_workload(workload):
     """Check a workload on its own."""
-    found = _Found(workload_key(workload.team, workload.name))
-    found.name("name", workload.name)
-    found.name("team", workload.team)
-    found.choice("kind", workload.kind, KINDS)
-    found.choice("when_cut_off", workload.when_cut_off, WHEN_CUT_OFF)
+    checker = _ItemChecker(workload_key(workload.team, workload.name))
+    checker.check_name("name", workload.name)
+    checker.check_name("team", workload.team)
+    checker.check_choice("kind", workload.kind, KINDS)
+    checker.check_choice("when_cut_off", workload.when_cut_off, WHEN_CUT_OFF)
     task = workload.task
-    found.within("task.cpu_millis", task.cpu_millis, 1, TASK_CPU_MILLIS_MAX)
-    found.within("task.memory_mb", task.memory_mb, 1, TASK_MEMORY_MB_MAX)
-    found.within("task.accelerators", task.accelerators, 0, TASK_ACCELERATORS_MAX)
-    found.within("tasks", workload.tasks, 1, TASKS_MAX)
-    found.within("priority", workload.priority, 0, PRIORITY_MAX)
-    found.within("expected_run_ms", workload.expected_run_ms, 0, MONTH_MS)
+    checker.check_range("task.cpu_millis", task.cpu_millis, 1, TASK_CPU_MILLIS_MAX)
+    checker.check_range("task.memory_mb", task.memory_mb, 1, TASK_MEMORY_MB_MAX)
+    checker.check_range(
+        "task.accelerators", task.accelerators, 0, TASK_ACCELERATORS_MAX
+    )
+    checker.check_range("tasks", workload.tasks, 1, TASKS_MAX)
+    checker.check_range("priority", workload.priority, 0, PRIORITY_MAX)
+    checker.check_range("expected_run_ms", workload.expected_run_ms, 0, MONTH_MS)
     if workload.kind == "service":
-        _check_service(found, workload)
+        _check_service(checker, workload)
     else:
-        found.within("deadline_ms", workload.deadline_ms, 0, MONTH_MS)
-        found.within("slots", workload.slots, 0, 0)
-        found.within("connections", workload.connections, 0, 0)
-    return found.mistakes
+        checker.check_range("deadline_ms", workload.deadline_ms, 0, MONTH_MS)
+        checker.check_range("slots", workload.slots, 0, 0)
+        checker.check_range("connections", workload.connections, 0, 0)
+    return checker.mistakes
 
 
-def _check_service(found, workload):
-    found.within("deadline_ms", workload.deadline_ms, 1, SERVICE_DEADLINE_MS_MAX)
-    found.within("slots", workload.slots, 1, SLOTS_MAX)
-    found.within("connections", workload.connections, 1, CONNECTIONS_MAX)
+def _check_service(checker, workload):
+    checker.check_range("deadline_ms", workload.deadline_ms, 1, SERVICE_DEADLINE_MS_MAX)
+    checker.check_range("slots", workload.slots, 1, SLOTS_MAX)
+    checker.check_range("connections", workload.connections, 1, CONNECTIONS_MAX)
     if 0 < workload.connections < workload.slots:
-        found.add(
+        checker.add(
             "connections",
             f"must be at least the {workload.slots} slots, or some can't be reached",
         )
 
 
-def check_team_whole(team, workloads):
+def check_team_workloads(team, workloads):
     """Check a team's workloads against its quota and each other."""
     mistakes = []
     for workload in workloads:
@@ -114,8 +118,8 @@
 def _check_against_quota(team, workload):
     key = workload_key(workload.team, workload.name)
     for field in common.Resources._fields:
-        asked, quota = getattr(workload.task, field), getattr(team.quota, field)
-        if asked > quota:
+        requested, quota = getattr(workload.task, field), getattr(team.quota, field)
+        if requested > quota:
             message = f"one task asks for more than the team's quota, {quota}"
             yield Mistake(key, f"task.{field}", message)
             return
@@ -140,7 +144,7 @@
             yield Mistake(team_key(team.name), f"quota.{field}", message)
 
 
-def check_items(items, touched):
+def check_items(items, changed_keys):
     """Check the whole map of ``key -> Team | Workload`` around the keys just written.
 
     Only teams that a touched key belongs to are checked, so that nobody is refused
@@ -151,7 +155,7 @@
     for key, record in items.items():
         if key.startswith("workload/"):
             workloads[record.team].append(record)
-    for name in sorted({key.split("/")[1] for key in touched}):
+    for name in sorted({key.split("/")[1] for key in changed_keys}):
         team = items.get(team_key(name))
         if team is None:
             mistakes += [
@@ -159,24 +163,24 @@
                 for w in workloads[name]
             ]
         else:
-            mistakes += check_team_whole(team, workloads[name])
-    return [*mistakes, *_check_service_names(items, touched)]
+            mistakes += check_team_workloads(team, workloads[name])
+    return [*mistakes, *_check_service_names(items, changed_keys)]
 
 
-def _check_service_names(items, touched):
+def _check_service_names(items, changed_keys):
     owners = collections.defaultdict(list)
     for key, record in items.items():
         if key.startswith("workload/") and record.kind == "service":
             owners[record.name].append(key)
     for keys in owners.values():
         for key in keys:
-            if len(keys) > 1 and key in touched:
+            if len(keys) > 1 and key in changed_keys:
                 others = ", ".join(other for other in keys if other != key)
                 yield Mistake(key, "name", f"this service's name is taken by {others}")
 
 
-class _Found:
-    """The mistakes of one item as they are found."""
+class _ItemChecker:
+    """Checks the fields of one item and collects the mistakes."""
 
     def __init__(self, key):
         self.key = key
@@ -186,17 +190,17 @@
         """Note a mistake."""
         self.mistakes.append(Mistake(self.key, field, message))
 
-    def name(self, field, value):
+    def check_name(self, field, value):
         """Check that a name can stand in a key and in a URL."""
         if not NAME.match(value):
             self.add(field, f"{value!r} {NAME_RULE}")
 
-    def choice(self, field, value, choices):
+    def check_choice(self, field, value, choices):
         """Check that a value is one of the choices."""
         if value not in choices:
             self.add(field, f"{value!r} must be {' or '.join(choices)}")
 
-    def within(self, field, value, low, high):
+    def check_range(self, field, value, low, high):
         """Check that a number is in its range."""
         if not low <= value <= high:
             wanted = (
--- a/alderreach/parser/difference.py
+++ b/alderreach/parser/difference.py
@@ -25,7 +25,7 @@
     """
     found = []
     for key in sorted(old.keys() | new.keys()):
-        before, after = _flat(old.get(key)), _flat(new.get(key))
+        before, after = _flatten(old.get(key)), _flatten(new.get(key))
         if before == after:
             continue
         sign = "+" if key not in old else "-" if key not in new else "~"
@@ -52,7 +52,7 @@
     return lines
 
 
-def _flat(record, prefix=""):
+def _flatten(record, prefix=""):
     """The fields of a record by dotted name; its own name is in the key already."""
     if record is None:
         return {}
@@ -60,7 +60,7 @@
     for name in record._fields:
         value = getattr(record, name)
         if hasattr(value, "_fields"):
-            flat |= _flat(value, f"{prefix}{name}.")
+            flat |= _flatten(value, f"{prefix}{name}.")
         else:
             flat[f"{prefix}{name}"] = plain_objects.to_object(value)
     return flat
--- a/alderreach/parser/questionnaire.py
+++ b/alderreach/parser/questionnaire.py
@@ -18,7 +18,7 @@
 MILLIS = 1000
 MB_PER_GB = 1024
 SECTIONS = ("service", "batch", "gang")
-# Where the value of an item's field came from, for mistakes found after generation.
+# The questionnaire key of an item's field, for mistakes found after generation.
 KEY_OF_FIELD = {
     "task.cpu_millis": "processors",
     "task.memory_mb": "memory_gb",
@@ -75,16 +75,18 @@
     except tomllib.TOMLDecodeError as error:
         line = toml_lines.line_of_error(error)
         return None, [problems.Problem(file, line, "syntax", str(error))]
-    found = _Findings(file, toml_lines.locate(text))
+    collector = _ProblemCollector(file, toml_lines.locate(text))
     for name in tables:
         if name != "team" and name not in SECTIONS:
-            found.add(name, "is no known table; there are team, service, batch, gang")
-    team = _team(found, tables)
-    workloads = tuple(_workloads(found, tables))
-    _check_names(found, workloads)
-    _check_items(found, Answers(team, workloads))
-    if found.problems:
-        return None, sorted(found.problems, key=lambda problem: problem.line)
+            collector.add(
+                name, "is no known table; there are team, service, batch, gang"
+            )
+    team = _team(collector, tables)
+    workloads = tuple(_workloads(collector, tables))
+    _check_names(collector, workloads)
+    _check_items(collector, Answers(team, workloads))
+    if collector.problems:
+        return None, sorted(collector.problems, key=lambda problem: problem.line)
     return Answers(team, workloads), []
 
 
@@ -128,8 +130,8 @@
     return common.Resources(cpu_millis, round(memory_gb * MB_PER_GB), accelerators)
 
 
-class _Findings:
-    """The mistakes of one file as they are found."""
+class _ProblemCollector:
+    """Collects the mistakes of one file with their lines."""
 
     def __init__(self, file, lines):
         self.file = file
@@ -140,74 +142,78 @@
         """Note a mistake at a dotted path; a second one there adds nothing."""
         if any(problem.key == path for problem in self.problems):
             return
-        line = toml_lines.find(self.lines, path)
+        line = toml_lines.line_of(self.lines, path)
         self.problems.append(problems.Problem(self.file, line, path, message))
 
 
-def _team(found, tables):
+def _team(collector, tables):
     table = tables.get("team")
     if table is None:
-        found.add("team", "a table [team] is required")
+        collector.add("team", "a table [team] is required")
         table = {}
-    return TeamAnswers(**_values(found, "team", table, questionnaire_keys.TEAM))
+    return TeamAnswers(**_values(collector, "team", table, questionnaire_keys.TEAM))
 
 
-def _workloads(found, tables):
+def _workloads(collector, tables):
     for kind in SECTIONS:
         entries = tables.get(kind, [])
         if not isinstance(entries, list):
-            found.add(kind, f"must be written [[{kind}]], one for each")
+            collector.add(kind, f"must be written [[{kind}]], one for each")
             continue
         for number, table in enumerate(entries):
             path = f"{kind}.{number}"
             rules = questionnaire_keys.WORKLOADS[kind]
-            values = questionnaire_keys.UNASKED | _values(found, path, table, rules)
+            values = questionnaire_keys.UNASKED_DEFAULTS | _values(
+                collector, path, table, rules
+            )
             yield WorkloadAnswers(kind=kind, path=path, **values)
 
 
-def _values(found, path, table, rules):
+def _values(collector, path, table, rules):
     if not isinstance(table, dict):
-        found.add(path, "must be a table")
+        collector.add(path, "must be a table")
         table = {}
     for key in table:
         if key not in rules:
-            found.add(f"{path}.{key}", f"is no known key; known: {', '.join(rules)}")
+            collector.add(
+                f"{path}.{key}", f"is no known key; known: {', '.join(rules)}"
+            )
     return {
-        key: _value(found, f"{path}.{key}", rule, table.get(key, rule.default))
+        key: _value(collector, f"{path}.{key}", rule, table.get(key, rule.default))
         for key, rule in rules.items()
     }
 
 
-def _value(found, path, rule, value):
+def _value(collector, path, rule, value):
     """The value of a key; in place of a wrong one, any of the right type.
 
     So the checks that follow find the mistakes of other keys too; a second mistake at
     this path is not shown.
     """
     if value is None:
-        found.add(path, f"is required: {rule.doc}")
-    elif type(value) not in rule.kinds:
-        found.add(path, f"must be {questionnaire_keys.WORDS[rule.kinds]}")
-    elif rule.kinds is questionnaire_keys.NUMBER and not 0 <= value < 1e12:
-        found.add(path, "must be a number from 0 on")
+        collector.add(path, f"is required: {rule.doc}")
+    elif type(value) not in rule.types:
+        collector.add(path, f"must be {questionnaire_keys.TYPE_NAMES[rule.types]}")
+    elif rule.types is questionnaire_keys.NUMBER and not 0 <= value < 1e12:
+        collector.add(path, "must be a number from 0 on")
     else:
         return value
-    return questionnaire_keys.STAND_INS[rule.kinds]
+    return questionnaire_keys.PLACEHOLDERS[rule.types]
 
 
-def _check_names(found, workloads):
+def _check_names(collector, workloads):
     lines = {}
     for workload in workloads:
         path = f"{workload.path}.name"
-        if any(problem.key == path for problem in found.problems):
+        if any(problem.key == path for problem in collector.problems):
             continue
         if workload.name in lines:
             message = f"{workload.name!r} stands on line {lines[workload.name]} too"
-            found.add(path, message)
-        lines.setdefault(workload.name, toml_lines.find(found.lines, path))
+            collector.add(path, message)
+        lines.setdefault(workload.name, toml_lines.line_of(collector.lines, path))
 
 
-def _check_items(found, answers):
+def _check_items(collector, answers):
     """Check each item, and all of them together only if each is sound."""
     paths = {configuration.team_key(answers.team.name): "team"}
     mistakes = configuration.check_team(_team_item(answers.team))
@@ -218,9 +224,9 @@
         workloads.append(item)
         own = configuration.check_workload(item)
         mistakes += [m for m in own if m.field != "team"]
-    if not mistakes and not found.problems:
+    if not mistakes and not collector.problems:
         team = _team_item(answers.team)
-        mistakes = configuration.check_team_whole(team, workloads)
+        mistakes = configuration.check_team_workloads(team, workloads)
     for mistake in mistakes:
         key = KEY_OF_FIELD.get(mistake.field, mistake.field)
-        found.add(f"{paths[mistake.key]}.{key}", mistake.message)
+        collector.add(f"{paths[mistake.key]}.{key}", mistake.message)
--- a/alderreach/parser/questionnaire_keys.py
+++ b/alderreach/parser/questionnaire_keys.py
@@ -7,22 +7,22 @@
 import typing
 
 TEXT = (str,)
-WHOLE = (int,)
+INTEGER = (int,)
 NUMBER = (int, float)
-TRUTH = (bool,)
-WORDS = {
+BOOLEAN = (bool,)
+TYPE_NAMES = {
     TEXT: "a text in quotes",
-    WHOLE: "a whole number",
+    INTEGER: "a whole number",
     NUMBER: "a number",
-    TRUTH: "true or false",
+    BOOLEAN: "true or false",
 }
-STAND_INS = {TEXT: "unknown", WHOLE: 1, NUMBER: 1, TRUTH: False}
+PLACEHOLDERS = {TEXT: "unknown", INTEGER: 1, NUMBER: 1, BOOLEAN: False}
 
 
 class Rule(typing.NamedTuple):
     """What one key takes; a default of None makes it required."""
 
-    kinds: tuple
+    types: tuple
     default: typing.Any
     doc: str
 
@@ -33,7 +33,7 @@
         TEXT, None, '"waiting" to start work soonest, "packing" to use the fewest VMs'
     ),
     "weight": Rule(
-        WHOLE, 1, "share of requests under load against other teams, from 1"
+        INTEGER, 1, "share of requests under load against other teams, from 1"
     ),
     "quota_processors": Rule(
         NUMBER, None, "processors all its running tasks may hold together"
@@ -41,41 +41,47 @@
     "quota_memory_gb": Rule(
         NUMBER, None, "memory in GiB all its running tasks may hold together"
     ),
-    "quota_accelerators": Rule(WHOLE, 0, "accelerators, likewise"),
+    "quota_accelerators": Rule(INTEGER, 0, "accelerators, likewise"),
 }
 
 _TASK = {
     "name": Rule(TEXT, None, "unique in the team; a service's is unique in the cell"),
     "processors": Rule(NUMBER, None, "processors of one task; 0.5 is half of one"),
     "memory_gb": Rule(NUMBER, None, "memory of one task in GiB"),
-    "accelerators": Rule(WHOLE, 0, "whole accelerators of one task"),
-    "priority": Rule(WHOLE, 4, "0 (lowest) to 9; 7 and above are urgent"),
+    "accelerators": Rule(INTEGER, 0, "whole accelerators of one task"),
+    "priority": Rule(INTEGER, 4, "0 (lowest) to 9; 7 and above are urgent"),
     "when_cut_off": Rule(
         TEXT,
         None,
         'if its VM loses touch: "stay" runs on and is not started elsewhere, "move"'
         " stops itself and starts elsewhere",
     ),
-    "checkpoint": Rule(TRUTH, False, "whether a task can be checkpointed"),
+    "checkpoint": Rule(BOOLEAN, False, "whether a task can be checkpointed"),
 }
 _RUN = {
-    "expected_run_ms": Rule(WHOLE, 0, "how long a task runs, as you guess; 0 unknown"),
-    "deadline_ms": Rule(WHOLE, 0, "time within which it should start; 0 for no limit"),
+    "expected_run_ms": Rule(
+        INTEGER, 0, "how long a task runs, as you guess; 0 unknown"
+    ),
+    "deadline_ms": Rule(
+        INTEGER, 0, "time within which it should start; 0 for no limit"
+    ),
     "home_failure_domain": Rule(
         TEXT, "", "failure domain to run in; empty: where it is submitted"
     ),
 }
 _SERVICE = {
-    "tasks": Rule(WHOLE, None, "runners to keep running"),
-    "slots": Rule(WHOLE, None, "requests one runner serves at once"),
-    "connections": Rule(WHOLE, None, "connections one runner accepts"),
-    "deadline_ms": Rule(WHOLE, None, "time allowed for an answer unless a caller asks"),
+    "tasks": Rule(INTEGER, None, "runners to keep running"),
+    "slots": Rule(INTEGER, None, "requests one runner serves at once"),
+    "connections": Rule(INTEGER, None, "connections one runner accepts"),
+    "deadline_ms": Rule(
+        INTEGER, None, "time allowed for an answer unless a caller asks"
+    ),
     "idempotent": Rule(
-        TRUTH, None, "true if serving the same request twice does no harm"
+        BOOLEAN, None, "true if serving the same request twice does no harm"
     ),
 }
-_BATCH = {"tasks": Rule(WHOLE, 1, "tasks of a run unless a submission asks")} | _RUN
-_GANG = {"tasks": Rule(WHOLE, None, "tasks, all started together or none")} | _RUN
+_BATCH = {"tasks": Rule(INTEGER, 1, "tasks of a run unless a submission asks")} | _RUN
+_GANG = {"tasks": Rule(INTEGER, None, "tasks, all started together or none")} | _RUN
 
 WORKLOADS = {
     "service": _TASK | _SERVICE,
@@ -84,7 +90,7 @@
 }
 
 # What a kind of workload is not asked for.
-UNASKED = {
+UNASKED_DEFAULTS = {
     "slots": 0,
     "connections": 0,
     "idempotent": True,
--- a/alderreach/parser/settings.py
+++ b/alderreach/parser/settings.py
@@ -15,7 +15,7 @@
 
 ROLES = ("entry", "placer", "keeper", "controller", "frontend")
 SEEDED_ROLES = ("controller", "frontend")
-LISTENERS = {
+REQUIRED_LISTENERS = {
     "entry": ("callers", "operators"),
     "placer": ("targets",),
     "keeper": (),
@@ -68,26 +68,26 @@
                 file, toml_lines.line_of_error(error), "syntax", str(error)
             )
         ]
-    found = _Findings(file, toml_lines.locate(text))
+    collector = _ProblemCollector(file, toml_lines.locate(text))
     for name in tables:
         if name not in SECTIONS and name != "peer":
-            found.add(name, "is no known table")
+            collector.add(name, "is no known table")
     sections = {
-        name: _section(found, name, kind, tables.get(name, {}), f"{name}")
+        name: _section(collector, name, kind, tables.get(name, {}), f"{name}")
         for name, kind in SECTIONS.items()
     }
-    peers = _peers(found, tables.get("peer", []))
-    if not found.problems:
-        _check_together(found, sections, role)
-    if found.problems:
-        return None, found.problems
+    peers = _peers(collector, tables.get("peer", []))
+    if not collector.problems:
+        _check_combinations(collector, sections, role)
+    if collector.problems:
+        return None, collector.problems
     name = sections["process"].name
     peers = tuple(peer for peer in peers if peer.name != name)
     return Settings(**sections, peers=peers), []
 
 
-class _Findings:
-    """The mistakes of one file as they are found."""
+class _ProblemCollector:
+    """Collects the mistakes of one file with their lines."""
 
     def __init__(self, file, lines):
         self.file = file
@@ -96,87 +96,89 @@
 
     def add(self, path, message):
         """Note a mistake at a dotted path."""
-        line = toml_lines.find(self.lines, path)
+        line = toml_lines.line_of(self.lines, path)
         self.problems.append(problems.Problem(self.file, line, path, message))
 
 
-def _section(found, name, kind, table, path):
+def _section(collector, name, kind, table, path):
     rules = schema.RULES[name]
     if not isinstance(table, dict):
-        found.add(path, "must be a table")
+        collector.add(path, "must be a table")
         return None
     for key in table:
         if key not in rules:
-            found.add(f"{path}.{key}", "is no known key")
+            collector.add(f"{path}.{key}", "is no known key")
     values = {
-        key: _value(found, f"{path}.{key}", rule, table.get(key, rule.default))
+        key: _value(collector, f"{path}.{key}", rule, table.get(key, rule.default))
         for key, rule in rules.items()
     }
     return kind(**values)
 
 
-def _value(found, path, rule, value):
+def _value(collector, path, rule, value):
     if value is None:
-        found.add(path, "is required")
+        collector.add(path, "is required")
     elif type(value) is not rule.kind:
-        found.add(path, f"must be of type {rule.kind.__name__}")
+        collector.add(path, f"must be of type {rule.kind.__name__}")
     elif rule.maximum and not rule.minimum <= value <= rule.maximum:
-        found.add(path, f"must be from {rule.minimum} to {rule.maximum}")
+        collector.add(path, f"must be from {rule.minimum} to {rule.maximum}")
     else:
         return value
     return rule.default
 
 
-def _peers(found, tables):
+def _peers(collector, tables):
     if not isinstance(tables, list):
-        found.add("peer", "must be an array of tables, [[peer]]")
+        collector.add("peer", "must be an array of tables, [[peer]]")
         return []
     peers, names = [], set()
     for number, table in enumerate(tables):
         path = f"peer.{number}"
-        peer = _section(found, "peer", schema.Peer, table, path)
+        peer = _section(collector, "peer", schema.Peer, table, path)
         if peer is None:
             continue
         if peer.name in names:
-            found.add(f"{path}.name", f"{peer.name!r} stands twice")
+            collector.add(f"{path}.name", f"{peer.name!r} stands twice")
         names.add(peer.name)
         if peer.role not in ROLES:
-            found.add(f"{path}.role", "must be entry, placer or keeper")
-        _check_address(found, f"{path}.address", peer.address)
+            collector.add(f"{path}.role", "must be entry, placer or keeper")
+        _check_address(collector, f"{path}.address", peer.address)
         peers.append(peer)
     return peers
 
 
-def _check_together(found, sections, role):
+def _check_combinations(collector, sections, role):
     listen = sections["listen"]
     for key in ("peers", "callers", "operators", "targets", "balancer", "platform"):
         address = getattr(listen, key)
         if address:
-            _check_address(found, f"listen.{key}", address)
-        elif key in LISTENERS[role]:
-            found.add(f"listen.{key}", f"is required for the role {role}")
+            _check_address(collector, f"listen.{key}", address)
+        elif key in REQUIRED_LISTENERS[role]:
+            collector.add(f"listen.{key}", f"is required for the role {role}")
     if role == "entry" and not sections["operators"].token_file:
-        found.add("operators.token_file", "is required for the role entry")
+        collector.add("operators.token_file", "is required for the role entry")
     if role in SEEDED_ROLES and not sections["discovery"].seeds:
-        found.add("discovery.seeds", f"is required for the role {role}")
+        collector.add("discovery.seeds", f"is required for the role {role}")
     if role == "controller" and not sections["cell"].control:
-        found.add("cell.control", "is required for the role controller")
+        collector.add("cell.control", "is required for the role controller")
     if sections["discovery"].found not in ("yes", "no"):
-        found.add("discovery.found", "must be yes or no")
+        collector.add("discovery.found", "must be yes or no")
     limits, timing = sections["limits"], sections["timing"]
     if limits.queue_length >= limits.http_threads:
-        found.add("limits.queue_length", "must be below limits.http_threads")
+        collector.add("limits.queue_length", "must be below limits.http_threads")
     if timing.leader_beat_ms * 3 > timing.election_timeout_ms:
-        found.add("timing.leader_beat_ms", "must be at most a third of the election")
+        collector.add(
+            "timing.leader_beat_ms", "must be at most a third of the election"
+        )
     if timing.owner_beat_ms * 3 > timing.owner_lease_ms:
-        found.add(
+        collector.add(
             "timing.owner_beat_ms", "must be at most a third of the owner's lease"
         )
     if timing.target_heartbeat_ms * 2 > timing.suspect_after_ms:
-        found.add("timing.suspect_after_ms", "must be at least two heartbeats")
+        collector.add("timing.suspect_after_ms", "must be at least two heartbeats")
 
 
-def _check_address(found, path, address):
+def _check_address(collector, path, address):
     if not isinstance(address, str):
         return
     host, _, port = address.rpartition(":")
@@ -186,4 +188,4 @@
     except ValueError:
         valid = False
     if not valid:
-        found.add(path, f"{address!r} is not an IP number and port, host:port")
+        collector.add(path, f"{address!r} is not an IP number and port, host:port")
--- a/alderreach/parser/toml_lines.py
+++ b/alderreach/parser/toml_lines.py
@@ -34,7 +34,7 @@
     return lines
 
 
-def find(lines, path):
+def line_of(lines, path):
     """Line of ``path``, or of its nearest parent that has one, or 1."""
     while path:
         if path in lines:
