--- a/alderreach/platform/answers.py
+++ b/alderreach/platform/answers.py
@@ -6,8 +6,8 @@
 from alderreach.ops.controller import requests
 from alderreach.platform import wire
 
-JSON = ("Content-Type", "application/json")
-LINES = {
+JSON_HEADER = ("Content-Type", "application/json")
+STATUS_LINES = {
     200: "200 OK",
     400: "400 Bad Request",
     404: "404 Not Found",
@@ -20,7 +20,7 @@
     503: "503 Service Unavailable",
     504: "504 Gateway Timeout",
 }
-STATUSES = {
+STATUS_BY_KIND = {
     requests.ACCEPTED: 200,
     requests.STATE: 200,
     requests.PENDING: 200,
@@ -40,7 +40,7 @@
     retry_after_ms: int = 0
 
 
-def of_answer(answer):
+def reply_for_answer(answer):
     """The reply for a ``cell.CellAnswer``."""
     body = b"{}"
     if answer.kind == requests.STATE:
@@ -51,29 +51,29 @@
         body = answer.body
     elif answer.kind == requests.INVALID:
         body = wire.encode({"error": answer.text})
-    return Reply(STATUSES[answer.kind], body, answer.retry_after_ms)
+    return Reply(STATUS_BY_KIND[answer.kind], body, answer.retry_after_ms)
 
 
-def of_outcome(outcome, changes):
+def reply_for_outcome(outcome, is_change):
     """The reply for a ``leader_calls.Outcome``.
 
     Without an answer a change that may have been made is a 504, whose sender asks again
     under the same id; all else surely was not done, and is a 503.
     """
     if outcome.answer is not None:
-        return of_answer(outcome.answer)
-    if changes and outcome.may_have_acted:
+        return reply_for_answer(outcome.answer)
+    if is_change and outcome.may_have_acted:
         return Reply(504)
     return Reply(503, retry_after_ms=requests.RETRY_AFTER_MS)
 
 
-def respond(reply, start_response, closes=False):
+def respond(reply, start_response, close_connection=False):
     """Send a reply through WSGI."""
-    headers = [JSON, ("Content-Length", str(len(reply.body)))]
+    headers = [JSON_HEADER, ("Content-Length", str(len(reply.body)))]
     if reply.retry_after_ms:
         seconds = math.ceil(reply.retry_after_ms / 1000)
         headers.append(("Retry-After", str(seconds)))
-    if closes:
+    if close_connection:
         headers.append(("Connection", "close"))
-    start_response(LINES[reply.status], headers)
+    start_response(STATUS_LINES[reply.status], headers)
     return [reply.body]
--- a/alderreach/platform/callers.py
+++ b/alderreach/platform/callers.py
@@ -9,8 +9,8 @@
 READY_PATH = "/-/readiness"
 DEADLINE_HEADER = "HTTP_DEADLINE_MS"
 # Callers that name no deadline wait about this long.
-DEADLINE_DEFAULT_MS = 2800
-DEADLINE_MOST_MS = 30_000
+DEFAULT_DEADLINE_MS = 2800
+MAX_DEADLINE_MS = 30_000
 # The answer's way back to the caller.
 DEADLINE_MARGIN_MS = 80
 BALANCER_THREADS = 1
@@ -22,7 +22,9 @@
     application = _application(context, leader_calls, in_flight, is_ready)
     _listen(context, listen.callers, application, limits.http_threads)
     if listen.balancer:
-        _listen(context, listen.balancer, _readiness(is_ready), BALANCER_THREADS)
+        _listen(
+            context, listen.balancer, _readiness_application(is_ready), BALANCER_THREADS
+        )
 
 
 def _listen(context, address, application, threads):
@@ -40,11 +42,11 @@
 
 def refuse(status, _message):
     """The answer to bytes that never became a request."""
-    line = answers.LINES.get(status, answers.LINES[400])
-    return http_connection.Refusal(line, (answers.JSON,), b"{}")
+    line = answers.STATUS_LINES.get(status, answers.STATUS_LINES[400])
+    return http_connection.Refusal(line, (answers.JSON_HEADER,), b"{}")
 
 
-def _readiness(is_ready):
+def _readiness_application(is_ready):
     def application(environ, start_response):
         is_known = environ.get("PATH_INFO") == READY_PATH
         status = (200 if is_ready() else 503) if is_known else 404
@@ -64,8 +66,8 @@
     def application(environ, start_response):
         with in_flight:
             reply = _answer(environ, leader_calls, clock)
-        closes = not is_ready()
-        return answers.respond(reply, start_response, closes)
+        close_connection = not is_ready()
+        return answers.respond(reply, start_response, close_connection)
 
     return application
 
@@ -84,14 +86,14 @@
             request = cell.CancelJob(host, path)
         else:
             return answers.Reply(405)
-    except wire.Malformed as error:
+    except wire.MalformedError as error:
         return answers.Reply(400, wire.encode({"error": str(error)}))
     try:
         outcome = leader_calls.call(request, give_up_ms)
     except Exception:
         logging.exception("fault while answering %s %s", method, path)
         return answers.Reply(500)
-    return answers.of_outcome(outcome, changes=method != "GET")
+    return answers.reply_for_outcome(outcome, is_change=method != "GET")
 
 
 def read_body(environ):
@@ -102,7 +104,7 @@
 def deadline_ms(environ):
     """How long the caller waits, as it says or as is usual."""
     try:
-        said = int(float(environ.get(DEADLINE_HEADER, "")))
+        requested_ms = int(float(environ.get(DEADLINE_HEADER, "")))
     except ValueError:
-        return DEADLINE_DEFAULT_MS
-    return max(DEADLINE_MARGIN_MS, min(said, DEADLINE_MOST_MS))
+        return DEFAULT_DEADLINE_MS
+    return max(DEADLINE_MARGIN_MS, min(requested_ms, MAX_DEADLINE_MS))
--- a/alderreach/platform/control.py
+++ b/alderreach/platform/control.py
@@ -37,7 +37,7 @@
     def application(environ, start_response):
         try:
             reply = _answer(environ, clock, leader_calls)
-        except wire.Malformed as error:
+        except wire.MalformedError as error:
             reply = answers.Reply(400, wire.encode({"error": str(error)}))
         return answers.respond(reply, start_response)
 
@@ -47,27 +47,27 @@
 def _answer(environ, clock, leader_calls):
     method, path = environ["REQUEST_METHOD"], environ.get("PATH_INFO", "")
 
-    def call(request, wait_ms, changes=True):
+    def call(request, wait_ms, is_change=True):
         outcome = leader_calls.call(request, clock.monotonic_ms() + wait_ms)
-        return outcome, answers.of_outcome(outcome, changes)
+        return outcome, answers.reply_for_outcome(outcome, is_change)
 
     if path.startswith(TARGET_PREFIX):
         target_id = path[len(TARGET_PREFIX) :]
         if method == "PUT":
             request = wire.announcement(target_id, callers.read_body(environ))
             outcome, reply = call(request, WORKER_WAIT_MS)
-            return _with_contact(outcome, reply)
+            return _with_leader_address(outcome, reply)
         if method == "DELETE":
             return call(cell.WithdrawTarget(target_id), WORKER_WAIT_MS)[1]
     elif path == CONFIG_PATH and method == "PUT":
         config = wire.configuration(callers.read_body(environ))
         return call(cell.PutConfig(config), OPERATOR_WAIT_MS)[1]
     elif path == CONFIG_PATH and method == "GET":
-        return call(cell.ReadConfig(), OPERATOR_WAIT_MS, changes=False)[1]
+        return call(cell.ReadConfig(), OPERATOR_WAIT_MS, is_change=False)[1]
     return answers.Reply(404)
 
 
-def _with_contact(outcome, reply):
+def _with_leader_address(outcome, reply):
     """Tell a worker where the leader is, if it answered."""
     if reply.status != 200 or not outcome.answer.text:
         return reply
--- a/alderreach/platform/targets.py
+++ b/alderreach/platform/targets.py
@@ -17,17 +17,17 @@
 POLL_PATH = "/-/hold"
 PACE_PATH = "/-/pace"
 ADVISE_PATH = "/-/advise"
-LIFE_HEADER = "Expect-Instance"
+INCARNATION_HEADER = "Expect-Instance"
 
 # A worker answers an order within milliseconds; one that takes longer than this is
 # asked again, which is harmless.
 ORDER_TIMEOUT_S = 0.5
 CONNECT_TIMEOUT_S = 0.5
 # On top of the time a poll may wait for an end.
-POLL_SLACK_S = 0.6
+POLL_MARGIN_S = 0.6
 # A decision with the longest list takes about a second; calls before it are waited for.
 ADVISE_TIMEOUT_S = 3.0
-MIME = "application/json"
+JSON_TYPE = "application/json"
 
 
 def open_session(address):
@@ -37,7 +37,7 @@
 
 def _post(session, record, path, body, timeout_s):
     """Send one request to the life of a worker that a record names."""
-    headers = {"Content-Type": MIME, LIFE_HEADER: record.target_id}
+    headers = {"Content-Type": JSON_TYPE, INCARNATION_HEADER: record.target_id}
     return session.post(path, body, headers, timeout_s)
 
 
@@ -56,23 +56,23 @@
         return wire.order_result(answer.status, answer.body)
     except http_client.NotSentError as error:
         return orders.OrderResult(_not_connected(error), detail=str(error))
-    except (http_client.UnansweredError, wire.Malformed) as error:
-        is_broken_off = isinstance(error, http_client.BrokenOffError)
+    except (http_client.UnansweredError, wire.MalformedError) as error:
+        is_connection_lost = isinstance(error, http_client.BrokenOffError)
         return orders.OrderResult(
-            orders.UNKNOWN, detail=str(error), lost_connection=is_broken_off
+            orders.UNKNOWN, detail=str(error), lost_connection=is_connection_lost
         )
 
 
 async def send_poll(session, record, poll):
     """Poll a worker; returns an ``orders.PollResult``."""
-    timeout_s = poll.wait_ms / 1000 + POLL_SLACK_S
+    timeout_s = poll.wait_ms / 1000 + POLL_MARGIN_S
     body = wire.poll_body(poll)
     try:
         answer = await _post(session, record, POLL_PATH, body, timeout_s)
         return wire.poll_result(answer.status, answer.body)
     except http_client.NotSentError as error:
         return orders.PollResult(_not_connected(error), detail=str(error))
-    except (http_client.UnansweredError, wire.Malformed) as error:
+    except (http_client.UnansweredError, wire.MalformedError) as error:
         return orders.PollResult(orders.UNKNOWN, detail=str(error))
 
 
@@ -81,7 +81,7 @@
     return orders.CONNECTION_REFUSED if is_refused else orders.UNREACHABLE
 
 
-def calls():
+def worker_calls():
     """The calls to workers that a controller's links make."""
     return target_link.Calls(open_session, send_order, send_poll)
 
@@ -100,13 +100,13 @@
 
     def ask(step, targets):
         body = wire.advise_body(step, targets)
-        headers = {"Content-Type": MIME}
+        headers = {"Content-Type": JSON_TYPE}
         try:
             response = pool.urlopen(
                 "POST", ADVISE_PATH, body, headers, retries=False, timeout=timeout
             )
             return wire.tickets(response.data) if response.status == 200 else None
-        except (urllib3.exceptions.HTTPError, OSError, wire.Malformed):
+        except (urllib3.exceptions.HTTPError, OSError, wire.MalformedError):
             return None
 
     return ask
--- a/alderreach/platform/wire.py
+++ b/alderreach/platform/wire.py
@@ -90,7 +90,7 @@
     services: list[_Service]
 
 
-class _Answer(msgspec.Struct):
+class _WorkerAnswer(msgspec.Struct):
     clock_ms: float | None = None
     reason: str = ""
     born: int = 0
@@ -98,7 +98,7 @@
     ended: list[list] = []
 
 
-class _Advised(msgspec.Struct):
+class _AdviseAnswer(msgspec.Struct):
     good: list[tuple[str, str]] = []
 
 
@@ -106,25 +106,25 @@
 _decode_job = msgspec.json.Decoder(_Job).decode
 _decode_announcement = msgspec.json.Decoder(_Announcement).decode
 _decode_config = msgspec.json.Decoder(_Config).decode
-_decode_answer = msgspec.json.Decoder(_Answer).decode
-_decode_advised = msgspec.json.Decoder(_Advised).decode
+_decode_worker_answer = msgspec.json.Decoder(_WorkerAnswer).decode
+_decode_advise_answer = msgspec.json.Decoder(_AdviseAnswer).decode
 encode = msgspec.json.Encoder().encode
 
 
-class Malformed(ValueError):
+class MalformedError(ValueError):
     """A body that is not what the protocol says; the text tells why."""
 
 
-def _decoded(decode, body):
+def _decode(decode, body):
     try:
         return decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise Malformed(str(error)) from error
+        raise MalformedError(str(error)) from error
 
 
 def submission(host, path, body):
-    """A job's body as a ``cell.SubmitJob``; raises ``Malformed``."""
-    job = _decoded(_decode_job, body)
+    """A job's body as a ``cell.SubmitJob``; raises ``MalformedError``."""
+    job = _decode(_decode_job, body)
     steps = [
         cell.Step(
             step.count,
@@ -158,53 +158,57 @@
 
 
 def announcement(target_id, body):
-    """A worker's heartbeat as a ``cell.AnnounceTarget``; raises ``Malformed``."""
-    said = _decoded(_decode_announcement, body)
-    if said.state not in STATES:
-        raise Malformed(f"no such state: {said.state}")
+    """A worker's heartbeat as a ``cell.AnnounceTarget``; raises ``MalformedError``."""
+    decoded = _decode(_decode_announcement, body)
+    if decoded.state not in STATES:
+        raise MalformedError(f"no such state: {decoded.state}")
     record = cell.TargetRecord(
         target_id,
-        said.born,
-        said.service,
-        said.address,
-        said.zone,
+        decoded.born,
+        decoded.service,
+        decoded.address,
+        decoded.zone,
         common.Resources(
-            int(said.capacity.cpu), int(said.capacity.mem_mb), int(said.capacity.gpu)
+            int(decoded.capacity.cpu),
+            int(decoded.capacity.mem_mb),
+            int(decoded.capacity.gpu),
         ),
-        said.labels,
-        said.state,
-        said.machine,
+        decoded.labels,
+        decoded.state,
+        decoded.machine,
     )
-    return cell.AnnounceTarget(record, said.sequence, int(said.clock_ms))
+    return cell.AnnounceTarget(record, decoded.sequence, int(decoded.clock_ms))
 
 
 def configuration(body):
-    """A configuration's body as a ``cell.CellConfig``; raises ``Malformed``.
+    """A configuration's body as a ``cell.CellConfig``; raises ``MalformedError``.
 
     Invalid beyond its form is a route to an unknown service, two routes at one place,
     and a timeout of nothing.
     """
-    said = _decoded(_decode_config, body)
-    names = {service.name for service in said.services}
-    places = set()
-    for route in said.routes:
+    decoded = _decode(_decode_config, body)
+    names = {service.name for service in decoded.services}
+    locations = set()
+    for route in decoded.routes:
         if route.service not in names:
-            raise Malformed(f"route {route.name} names unknown service {route.service}")
+            raise MalformedError(
+                f"route {route.name} names unknown service {route.service}"
+            )
         if route.timeout_ms <= 0:
-            raise Malformed(f"route {route.name} has no timeout")
-        place = (route.host, route.path_prefix)
-        if place in places:
-            raise Malformed(f"two routes at {route.host}{route.path_prefix}")
-        places.add(place)
-    queues = [_queue(route) for route in said.routes]
+            raise MalformedError(f"route {route.name} has no timeout")
+        location = (route.host, route.path_prefix)
+        if location in locations:
+            raise MalformedError(f"two routes at {route.host}{route.path_prefix}")
+        locations.add(location)
+    queues = [_queue_config(route) for route in decoded.routes]
     services = [
         cell.ServiceConfig(service.name, service.enforces_capacity, service.standby)
-        for service in said.services
+        for service in decoded.services
     ]
-    return cell.CellConfig(said.version, queues, services, body)
+    return cell.CellConfig(decoded.version, queues, services, body)
 
 
-def _queue(route):
+def _queue_config(route):
     rule = None
     if route.advice is not None:
         rule = cell.PermissionRule(
@@ -278,18 +282,18 @@
 
 def tickets(body):
     """The permission service's answer as a list of ``cell.Ticket``."""
-    return [cell.Ticket(*row) for row in _decoded(_decode_advised, body).good]
+    return [cell.Ticket(*row) for row in _decode(_decode_advise_answer, body).good]
 
 
 # What a worker's refusal means here.
-REASONS = {
+OUTCOME_BY_REASON = {
     "fence": orders.FENCED,
     "old": orders.STALE_RUN,
     "late": orders.LEASE_EXPIRED,
     "room": orders.NO_CAPACITY,
     "ticket": orders.NO_TICKET,
 }
-STATUSES = {
+OUTCOME_BY_STATUS = {
     200: orders.OK,
     400: orders.REFUSED,
     421: orders.OTHER_INCARNATION,
@@ -300,11 +304,11 @@
 
 def order_result(status, body):
     """A worker's answer to an order."""
-    said = _decoded(_decode_answer, body) if body else _Answer()
-    outcome = STATUSES.get(status, orders.UNKNOWN)
+    decoded = _decode(_decode_worker_answer, body) if body else _WorkerAnswer()
+    outcome = OUTCOME_BY_STATUS.get(status, orders.UNKNOWN)
     if status == 409:
-        outcome = REASONS.get(said.reason, orders.UNKNOWN)
-    return orders.OrderResult(outcome, _clock(said), f"{status} {said.reason}")
+        outcome = OUTCOME_BY_REASON.get(decoded.reason, orders.UNKNOWN)
+    return orders.OrderResult(outcome, _clock_ms(decoded), f"{status} {decoded.reason}")
 
 
 def poll_result(status, body):
@@ -312,16 +316,18 @@
     if status != 200:
         result = order_result(status, body)
         return orders.PollResult(result.outcome, result.clock_ms, detail=result.detail)
-    said = _decoded(_decode_answer, body)
+    decoded = _decode(_decode_worker_answer, body)
     try:
-        running = [_listed_run(row) for row in said.running]
+        running = [_listed_run(row) for row in decoded.running]
         ended = [
             orders.ListedEnd(int(row[0]), row[1], int(row[2]), row[3], row[4] or "")
-            for row in said.ended
+            for row in decoded.ended
         ]
     except (IndexError, TypeError, ValueError) as error:
-        raise Malformed(f"a row of a worker's lists: {error}") from error
-    return orders.PollResult(orders.OK, _clock(said), said.born, running, ended)
+        raise MalformedError(f"a row of a worker's lists: {error}") from error
+    return orders.PollResult(
+        orders.OK, _clock_ms(decoded), decoded.born, running, ended
+    )
 
 
 def _listed_run(row):
@@ -329,5 +335,5 @@
     return orders.ListedRun(row[0], int(row[1]), row[2] or "", int(row[3]), float(load))
 
 
-def _clock(said):
-    return None if said.clock_ms is None else int(said.clock_ms)
+def _clock_ms(decoded):
+    return None if decoded.clock_ms is None else int(decoded.clock_ms)
--- a/alderreach/scripts/controller.py
+++ b/alderreach/scripts/controller.py
@@ -8,12 +8,12 @@
 
 
 def _build(context):
-    outside = service.ExternalServices(
-        targets.calls(),
+    external_services = service.ExternalServices(
+        targets.worker_calls(),
         targets.permission_asker(context.settings.cell.permission),
         control.serve,
     )
-    return service.build(context, outside)
+    return service.build(context, external_services)
 
 
 def main():
