--- a/alderreach/ops/client/api.py
+++ b/alderreach/ops/client/api.py
@@ -18,7 +18,7 @@
 
 from alderreach.utils import clocks
 
-ENTRY = re.compile(r"([^\s/:]+|\[[0-9a-fA-F:]+\]):[0-9]{1,5}")
+ENTRY_PATTERN = re.compile(r"([^\s/:]+|\[[0-9a-fA-F:]+\]):[0-9]{1,5}")
 ROUNDS = 3
 ROUND_PAUSE_S = 0.5
 CONNECT_TIMEOUT_S = 2
@@ -28,12 +28,12 @@
 EXIT_BAD_INPUT = 2
 EXIT_UNREACHABLE = 3
 # Another entry, or the same one a little later, may well answer these otherwise.
-ELSEWHERE = ("no_quorum", "draining", "write_unconfirmed", "overloaded", "internal")
+RETRIED_KINDS = ("no_quorum", "draining", "write_unconfirmed", "overloaded", "internal")
 # Of these, the attempt may have been taken all the same.
-UNSURE = ("write_unconfirmed", "internal")
+UNCERTAIN_KINDS = ("write_unconfirmed", "internal")
 # Not elsewhere either, but it may be reached later.
-UNREACHABLE = ("no_owner",)
-BAD_INPUT = (
+UNREACHABLE_KINDS = ("no_owner",)
+BAD_INPUT_KINDS = (
     "malformed_request",
     "invalid_configuration",
     "impossible_job",
@@ -56,11 +56,11 @@
 
 
 class Attempt(typing.NamedTuple):
-    """How one attempt at one entry went; ``maybe_taken`` if it may have had effect."""
+    """The result of one attempt; ``may_have_acted`` if it may have had an effect."""
 
     status: int
     document: dict
-    maybe_taken: bool
+    may_have_acted: bool
 
 
 def fail(exit_code, message):
@@ -95,22 +95,22 @@
         if key:
             headers["Idempotency-Key"] = key
             headers["Alderreach-Asked-Wall-Ms"] = str(asked_wall_ms(key))
-        maybe_taken, last = False, None
-        for entry in self._order():
+        may_have_acted, last = False, None
+        for entry in self._attempt_order():
             last = self._attempt(entry, method, path, fields, headers, body)
-            if last.status and last.document.get("kind") not in ELSEWHERE:
-                self._stay_with(entry)
+            if last.status and last.document.get("kind") not in RETRIED_KINDS:
+                self._prefer(entry)
                 return _result(last)
-            maybe_taken = maybe_taken or last.maybe_taken
-        return _give_up(last, self._entries, key if maybe_taken else "")
+            may_have_acted = may_have_acted or last.may_have_acted
+        return _give_up(last, self._entries, key if may_have_acted else "")
 
-    def _order(self):
+    def _attempt_order(self):
         for number in range(ROUNDS):
             if number:
                 self._sleep(ROUND_PAUSE_S)
             yield from list(self._entries)
 
-    def _stay_with(self, entry):
+    def _prefer(self, entry):
         self._entries.remove(entry)
         self._entries.insert(0, entry)
 
@@ -128,8 +128,8 @@
             return Attempt(0, {"detail": f"{entry}: {error}"}, False)
         except (urllib3.exceptions.HTTPError, ValueError) as error:
             return Attempt(0, {"detail": f"{entry}: {error}"}, True)
-        unsure = document.get("kind") in UNSURE
-        return Attempt(answer.status, document, unsure)
+        is_uncertain = document.get("kind") in UNCERTAIN_KINDS
+        return Attempt(answer.status, document, is_uncertain)
 
 
 def path(*parts):
@@ -173,9 +173,9 @@
 
 def _exit_code(document):
     kind = document.get("kind")
-    if kind in UNREACHABLE:
+    if kind in UNREACHABLE_KINDS:
         return EXIT_UNREACHABLE
-    return EXIT_BAD_INPUT if kind in BAD_INPUT else EXIT_REFUSED
+    return EXIT_BAD_INPUT if kind in BAD_INPUT_KINDS else EXIT_REFUSED
 
 
 def describe(document):
--- a/alderreach/ops/client/moments.py
+++ b/alderreach/ops/client/moments.py
@@ -16,11 +16,11 @@
     60000
     """
     try:
-        moment = datetime.datetime.fromisoformat(text)
+        parsed = datetime.datetime.fromisoformat(text)
     except ValueError:
         message = f"{name} {text!r} is no date and time such as {EXAMPLE}"
         return api.fail(api.EXIT_BAD_INPUT, message)
-    if moment.tzinfo is None:
+    if parsed.tzinfo is None:
         message = f"{name} {text!r} needs a time zone, such as Z in {EXAMPLE}"
         return api.fail(api.EXIT_BAD_INPUT, message)
-    return Ok(round(moment.timestamp() * 1000))
+    return Ok(round(parsed.timestamp() * 1000))
--- a/alderreach/ops/client/plans.py
+++ b/alderreach/ops/client/plans.py
@@ -31,20 +31,20 @@
     longer in the questionnaire are deleted.
     """
     versions, old_items = items_of_team(document, team_name)
-    found = difference.difference(old_items, new_items)
+    differences = difference.difference(old_items, new_items)
     writes = [
         {
             "key": entry.key,
             "base_version": versions.get(entry.key, 0),
             "value": plain_objects.to_object(new_items.get(entry.key)),
         }
-        for entry in found
+        for entry in differences
     ]
-    summary = "; ".join(_short(entry) for entry in found)
-    return Plan(writes, difference.show(found), summary)
+    summary = "; ".join(_summarize(entry) for entry in differences)
+    return Plan(writes, difference.show(differences), summary)
 
 
-def _short(entry):
+def _summarize(entry):
     text = f"{entry.sign} {entry.key}"
     if entry.sign != "~":
         return text
--- a/alderreach/ops/client/timelines.py
+++ b/alderreach/ops/client/timelines.py
@@ -14,14 +14,14 @@
 import typing
 
 ID_FIELDS = ("job", "task", "path", "target", "request_id")
-# What may explain a timeline though it bears no id of it; see ``_context_of``.
-EVERYWHERE = (
+# What may explain a timeline though it bears no id of it; see ``_context_filter``.
+GLOBAL_EVENTS = (
     "leadership_gained",
     "leadership_lost",
     "process_started",
     "drain_started",
 )
-OF_WORKERS = (
+WORKER_EVENTS = (
     "lease_expired",
     "worker_changed",
     "worker_clock_behind",
@@ -29,62 +29,65 @@
     "worker_gone",
     "worker_restarted",
 )
-OF_PROCESSES = ("contact_changed", "events_dropped")
+PROCESS_EVENTS = ("contact_changed", "events_dropped")
 # So long before the first line a cause may lie: an election, a lease's last second.
-BEFORE_MS = 2000
-AFTER_MS = 500
+CONTEXT_BEFORE_MS = 2000
+CONTEXT_AFTER_MS = 500
 FIXED_FIELDS = ("wall_ms", "mono_ms", "process", "boot", "role", "event")
 
 
 class Entry(typing.NamedTuple):
     """One log line, placed among those of other processes."""
 
-    placed_ms: int
+    sort_ms: int
     process: str
     number: int
     fields: dict
     is_context: bool = False
 
 
-def timeline_of(lines, wanted):
-    """The lines that concern ``wanted``, as text, oldest first; empty if none does."""
-    placed = sorted(_placed(lines), key=lambda entry: entry[:3])
-    own = [entry for entry in placed if concerns(entry.fields, wanted)]
-    if not own:
+def timeline_of(lines, wanted_id):
+    """The lines that concern ``wanted_id``, as text, oldest first; empty if none."""
+    entries = sorted(_read_entries(lines), key=lambda entry: entry[:3])
+    own_entries = [entry for entry in entries if concerns(entry.fields, wanted_id)]
+    if not own_entries:
         return ""
-    is_context = _context_of(own)
+    is_context = _context_filter(own_entries)
     shown = [
-        entry._replace(is_context=not concerns(entry.fields, wanted))
-        for entry in placed
-        if concerns(entry.fields, wanted) or is_context(entry)
+        entry._replace(is_context=not concerns(entry.fields, wanted_id))
+        for entry in entries
+        if concerns(entry.fields, wanted_id) or is_context(entry)
     ]
-    return "\n".join(_shown(entry, own[0].placed_ms) for entry in shown)
+    return "\n".join(_format_entry(entry, own_entries[0].sort_ms) for entry in shown)
 
 
-def _context_of(own):
+def _context_filter(own_entries):
     """A function that says whether an entry happened around a timeline's own ones."""
-    first_ms, last_ms = own[0].placed_ms - BEFORE_MS, own[-1].placed_ms + AFTER_MS
-    targets = {entry.fields.get("target", "") for entry in own}
-    processes = {entry.process for entry in own}
+    first_ms, last_ms = (
+        own_entries[0].sort_ms - CONTEXT_BEFORE_MS,
+        own_entries[-1].sort_ms + CONTEXT_AFTER_MS,
+    )
+    targets = {entry.fields.get("target", "") for entry in own_entries}
+    processes = {entry.process for entry in own_entries}
 
     def is_context(entry):
         kind = entry.fields["event"]
-        if not first_ms <= entry.placed_ms <= last_ms:
+        if not first_ms <= entry.sort_ms <= last_ms:
             return False
-        if kind in OF_WORKERS:
+        if kind in WORKER_EVENTS:
             return entry.fields.get("target") in targets
-        if kind in OF_PROCESSES:
+        if kind in PROCESS_EVENTS:
             return entry.process in processes
-        return kind in EVERYWHERE
+        return kind in GLOBAL_EVENTS
 
     return is_context
 
 
-def _placed(lines):
+def _read_entries(lines):
     """All lines that can be read, each at a time that never runs back."""
     by_process = {}
     for line in lines:
-        fields = _parsed(line)
+        fields = _parse_line(line)
         if fields is not None:
             key = (fields["process"], fields["boot"])
             by_process.setdefault(key, []).append(fields)
@@ -96,7 +99,7 @@
             yield Entry(latest_ms, process, number, fields)
 
 
-def _parsed(line):
+def _parse_line(line):
     start = line.find("{")
     if start < 0:
         return None
@@ -104,11 +107,11 @@
         fields = json.loads(line[start:])
     except ValueError:
         return None
-    known = all(name in fields for name in FIXED_FIELDS)
-    return fields if known else None
+    is_complete = all(name in fields for name in FIXED_FIELDS)
+    return fields if is_complete else None
 
 
-def concerns(fields, wanted):
+def concerns(fields, wanted_id):
     """Whether a line is about the id: itself, a task of it, or a path that ends in it.
 
     >>> concerns({"task": "5c0e.0.1.2"}, "5c0e"), concerns({"job": "5c"}, "5c0e")
@@ -116,20 +119,20 @@
     """
     values = [str(fields.get(name, "")) for name in ID_FIELDS]
     return any(
-        value == wanted
-        or value.startswith(f"{wanted}.")
-        or value.endswith(f"/{wanted}")
+        value == wanted_id
+        or value.startswith(f"{wanted_id}.")
+        or value.endswith(f"/{wanted_id}")
         for value in values
     )
 
 
-def _shown(entry, first_ms):
+def _format_entry(entry, first_ms):
     rest = [
         f"{name}={value}"
         for name, value in entry.fields.items()
         if name not in FIXED_FIELDS and value != ""
     ]
-    offset = f"{entry.placed_ms - first_ms:>7} ms"
+    offset = f"{entry.sort_ms - first_ms:>7} ms"
     mark = "." if entry.is_context else " "
     event = entry.fields["event"]
     return "  ".join([f"{offset} {mark}", entry.process, event, *rest])
--- a/alderreach/ops/client/views.py
+++ b/alderreach/ops/client/views.py
@@ -27,12 +27,12 @@
     return table(headers, rows) if rows else [EMPTY]
 
 
-def moment(wall_ms):
+def format_time(wall_ms):
     """A Unix time in milliseconds as UTC; a dash where it is unknown."""
     if not wall_ms:
         return "-"
-    moment_utc = datetime.datetime.fromtimestamp(wall_ms / 1000, datetime.UTC)
-    return moment_utc.strftime("%Y-%m-%dT%H:%M:%SZ")
+    time_utc = datetime.datetime.fromtimestamp(wall_ms / 1000, datetime.UTC)
+    return time_utc.strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
 def teams(document):
@@ -94,18 +94,18 @@
         lines.append(NOT_CURRENT)
     for item in document["items"]:
         lines.append(f"{item['key']} (version {item['version']})")
-        lines += [f"    {name}: {value}" for name, value in flat(item["value"])]
+        lines += [f"    {name}: {value}" for name, value in flatten(item["value"])]
     return lines
 
 
 NOT_CURRENT = "the quorum can't be reached; this is the entry's last copy"
 
 
-def flat(value, prefix=""):
+def flatten(value, prefix=""):
     """The fields of an object with dotted names for inner objects."""
     for name, entry in value.items():
         if isinstance(entry, dict):
-            yield from flat(entry, f"{prefix}{name}.")
+            yield from flatten(entry, f"{prefix}{name}.")
         else:
             yield f"{prefix}{name}", entry
 
@@ -113,7 +113,7 @@
 def history(document):
     """Accepted changes, the newest first."""
     rows = [
-        (change["version"], moment(change["wall_ms"]), change["author"])
+        (change["version"], format_time(change["wall_ms"]), change["author"])
         + (change["summary"],)
         for change in document["changes"]
     ]
@@ -126,8 +126,8 @@
         (
             window["window_id"],
             window["failure_domain"],
-            moment(window["start_wall_ms"]),
-            moment(window["end_wall_ms"]),
+            format_time(window["start_wall_ms"]),
+            format_time(window["end_wall_ms"]),
             " ".join([*window["vms"], *(f"rack:{r}" for r in window["racks"])]),
         )
         for window in document["windows"]
@@ -145,14 +145,14 @@
             job["kind"],
             job["state"],
             f"{job['running']}/{job['finished']}/{job['failed']}/{job['tasks']}",
-            moment(job["submitted_wall_ms"]),
+            format_time(job["submitted_wall_ms"]),
             job["reason"],
         )
         for job in document["jobs"]
     ]
     headers = ("job", "team", "workload", "kind", "state")
     headers += ("run/done/failed/all", "submitted", "reason")
-    return rows_or_none(headers, rows) + _silent(document, "failure domains")
+    return rows_or_none(headers, rows) + _unreachable_lines(document, "failure domains")
 
 
 def job(document):
@@ -189,7 +189,7 @@
         )
     headers = ("target", "kind", "failure domain", "rack", "vm", "state")
     headers += ("processors", "memory GiB", "tasks", "note")
-    return rows_or_none(headers, rows) + _silent(document, "failure domains")
+    return rows_or_none(headers, rows) + _unreachable_lines(document, "failure domains")
 
 
 def members(document):
@@ -227,7 +227,7 @@
             )
         )
     headers = ("process", "failure domain", "state", "version", "", "detail")
-    return lines + table(headers, rows) + _silent(document, "processes")
+    return lines + table(headers, rows) + _unreachable_lines(document, "processes")
 
 
 def timeline(document):
@@ -239,13 +239,13 @@
             for name, field in EVENT_IDS
             if event[field] not in ("", 0)
         )
-        moment_utc = datetime.datetime.fromtimestamp(
+        time_utc = datetime.datetime.fromtimestamp(
             event["wall_ms"] / 1000, datetime.UTC
         )
-        text = moment_utc.strftime("%H:%M:%S.") + f"{event['wall_ms'] % 1000:03}"
+        text = time_utc.strftime("%H:%M:%S.") + f"{event['wall_ms'] % 1000:03}"
         parts = (text, event["process"], event["kind"], ids, event["detail"])
         lines.append("  ".join(part for part in parts if part))
-    return (lines or [EMPTY]) + _silent(document, "processes")
+    return (lines or [EMPTY]) + _unreachable_lines(document, "processes")
 
 
 EVENT_IDS = (
@@ -258,6 +258,6 @@
 )
 
 
-def _silent(document, what):
+def _unreachable_lines(document, what):
     names = document.get("unreachable", [])
     return [f"no answer from {what}: {', '.join(names)}"] if names else []
--- a/alderreach/scripts/commands/base.py
+++ b/alderreach/scripts/commands/base.py
@@ -83,7 +83,7 @@
             text = f"no entry named; give --entry host:port or set {ENTRY_VARIABLE}"
             return api.fail(api.EXIT_BAD_INPUT, text)
         for entry in entries:
-            if not api.ENTRY.fullmatch(entry):
+            if not api.ENTRY_PATTERN.fullmatch(entry):
                 text = f"the entry {entry!r} must be written host:port"
                 return api.fail(api.EXIT_BAD_INPUT, text)
         token = read_token(self.option("token-file") or os.environ.get(TOKEN_VARIABLE))
@@ -95,7 +95,7 @@
         """The idempotency key asked for, or empty for a fresh one."""
         return self.option("idempotency-key") or ""
 
-    def agreed(self, question):
+    def confirm_change(self, question):
         """Ask before a change: ``Ok`` to go on, or a failure."""
         if self.option("yes"):
             return Ok(None)
--- a/alderreach/scripts/commands/explain.py
+++ b/alderreach/scripts/commands/explain.py
@@ -36,9 +36,9 @@
             lines += text.splitlines()
         if not self.argument("files"):
             lines = sys.stdin.read().splitlines()
-        told = timelines.timeline_of(lines, self.argument("id"))
-        if not told:
+        timeline = timelines.timeline_of(lines, self.argument("id"))
+        if not timeline:
             self.line_error(f"no line is about {self.argument('id')}")
             return 1
-        self.line(told)
+        self.line(timeline)
         return 0
--- a/alderreach/scripts/commands/keeper.py
+++ b/alderreach/scripts/commands/keeper.py
@@ -36,9 +36,9 @@
     def call(self, client):
         """Ask, then send the change."""
         identity = self.argument("identity")
-        agreed = self.agreed(self.question.format(identity))
-        if isinstance(agreed, Err):
-            return agreed
+        confirmed = self.confirm_change(self.question.format(identity))
+        if isinstance(confirmed, Err):
+            return confirmed
         path = api.path("v1", "keepers", identity, self.action)
         return client.change("POST", path, self.body())
 
--- a/alderreach/scripts/commands/questionnaire.py
+++ b/alderreach/scripts/commands/questionnaire.py
@@ -102,9 +102,9 @@
         if not self.option("json"):
             for line in plan.lines:
                 base.write(self, line)
-        agreed = self.agreed(f"Commit these {len(plan.writes)} items?")
-        if isinstance(agreed, Err):
-            return agreed
+        confirmed = self.confirm_change(f"Commit these {len(plan.writes)} items?")
+        if isinstance(confirmed, Err):
+            return confirmed
         body = {"writes": plan.writes, "summary": plan.summary}
         done = client.change("PUT", "/v1/config", body, self.key())
         if isinstance(done, Err):
--- a/alderreach/scripts/commands/target.py
+++ b/alderreach/scripts/commands/target.py
@@ -43,9 +43,9 @@
         """Ask, since a VM that still runs would run its tasks twice; then send it."""
         target = self.argument("target")
         question = f"Is the VM of {target} surely stopped for good?"
-        agreed = self.agreed(question)
-        if isinstance(agreed, Err):
-            return agreed
+        confirmed = self.confirm_change(question)
+        if isinstance(confirmed, Err):
+            return confirmed
         path = api.path("v1", "targets", target, "forget")
         return client.change("POST", path, key=self.key())
 
--- a/alderreach/scripts/commands/team.py
+++ b/alderreach/scripts/commands/team.py
@@ -8,7 +8,7 @@
 from alderreach.scripts.commands import base
 
 
-def only(result, key, what):
+def select_item(result, key, what):
     """The document with just the item ``key``, or a failure if it isn't there."""
     if isinstance(result, Err):
         return result
@@ -45,7 +45,7 @@
         """Read the team."""
         name = self.argument("team")
         key = configuration.team_key(name)
-        return only(client.get("/v1/config", prefix=key), key, f"team {name!r}")
+        return select_item(client.get("/v1/config", prefix=key), key, f"team {name!r}")
 
     def view(self, document):
         """The item in full."""
@@ -72,9 +72,9 @@
         if not self.option("json"):
             for line in plan.lines:
                 base.write(self, line)
-        agreed = self.agreed(f"Remove these {len(plan.writes)} items?")
-        if isinstance(agreed, Err):
-            return agreed
+        confirmed = self.confirm_change(f"Remove these {len(plan.writes)} items?")
+        if isinstance(confirmed, Err):
+            return confirmed
         body = {"writes": plan.writes, "summary": plan.summary}
         return client.change("PUT", "/v1/config", body, self.key())
 
@@ -119,7 +119,7 @@
         team, name = self.argument("team"), self.argument("workload")
         key = configuration.workload_key(team, name)
         what = f"workload {name!r} of team {team!r}"
-        return only(client.get("/v1/config", prefix=key), key, what)
+        return select_item(client.get("/v1/config", prefix=key), key, what)
 
     def view(self, document):
         """The item in full."""
