--- a/alderreach/ops/frontend/service.py
+++ b/alderreach/ops/frontend/service.py
@@ -14,12 +14,12 @@
 from alderreach.utils import tasks
 
 # The balancer asks once a second and takes two misses; callers still come until then.
-DRAIN_LEAST_MS = 2300
+MIN_DRAIN_MS = 2300
 DRAIN_QUIET_MS = 300
 DRAIN_POLL_S = 0.02
 
 
-class Outside(typing.NamedTuple):
+class ExternalServices(typing.NamedTuple):
     """How the world around the cell is spoken to; given by the thin main.
 
     ``serve_callers(context, leader_calls, in_flight, is_ready)`` opens the listeners of
@@ -34,11 +34,11 @@
 class Frontend:
     """The role object; see ``ops.daemon``."""
 
-    def __init__(self, context, outside):
+    def __init__(self, context, external_services):
         self._context = context
         self._clock = context.clock
         settings = context.settings
-        self._seeker = discovery.ControllerFinder(
+        self._finder = discovery.ControllerFinder(
             settings.listen.peers,
             discovery.peer_addresses(
                 settings.discovery.seeds, settings.discovery.peer_port
@@ -50,14 +50,14 @@
         )
         self._calls = leader_calls.LeaderCalls(
             settings.process.name,
-            self._seeker.controllers,
-            lambda: self._seeker.is_isolated(context.clock.monotonic_ms()),
+            self._finder.controllers,
+            lambda: self._finder.is_isolated(context.clock.monotonic_ms()),
             context.transport.send,
             context.clock,
             context.timeline.record,
         )
         self._permission_calls = permission_calls.PermissionCalls(
-            outside.ask_permission, context.transport.send
+            external_services.ask_permission, context.transport.send
         ).start()
         context.stack.callback(self._permission_calls.close)
         self._in_flight = callers.InFlight(context.clock)
@@ -67,7 +67,9 @@
             "frontend", self._handle, self._tick, context.clock, tick_ms=100
         ).start()
         context.stack.callback(self._task.close)
-        outside.serve_callers(context, self._calls, self._in_flight, self.is_ready)
+        external_services.serve_callers(
+            context, self._calls, self._in_flight, self.is_ready
+        )
 
     def deliver(self, received):
         """Take a peer's message; replies go straight to the thread that waits."""
@@ -82,11 +84,11 @@
     def is_ready(self):
         """Whether callers should come here."""
         now_ms = self._clock.monotonic_ms()
-        return self._seeker.has_leader(now_ms) and not self._context.draining.is_set()
+        return self._finder.has_leader(now_ms) and not self._context.draining.is_set()
 
     def status(self):
         """What operators are shown."""
-        leadership = self._seeker.leadership
+        leadership = self._finder.leadership
         detail = {"leader": leadership.address, "epoch": leadership.epoch}
         detail["in_flight"] = self._in_flight.number
         return daemon.RoleStatus(0, "serving", self.is_ready(), detail)
@@ -103,51 +105,53 @@
         while True:
             waited_ms = self._clock.monotonic_ms() - started_ms
             is_quiet = self._in_flight.is_quiet(DRAIN_QUIET_MS)
-            if waited_ms >= drain_ms or (waited_ms >= DRAIN_LEAST_MS and is_quiet):
+            if waited_ms >= drain_ms or (waited_ms >= MIN_DRAIN_MS and is_quiet):
                 return
             time.sleep(DRAIN_POLL_S)
 
     def _handle(self, received):
         if isinstance(received.message, cell.GreetingReply):
-            had_leader = self._seeker.leadership
-            self._seeker.handle_reply(
+            previous = self._finder.leadership
+            self._finder.handle_reply(
                 received.message, received.reply_address, self._clock.monotonic_ms()
             )
-            leadership = self._seeker.leadership
-            if leadership.epoch != had_leader.epoch:
+            leadership = self._finder.leadership
+            if leadership.epoch != previous.epoch:
                 self._context.timeline.record(
                     "leader_heard", leader=leadership.address, epoch=leadership.epoch
                 )
 
-    def _note_contact(self, now_ms):
+    def _record_contact(self, now_ms):
         """A line for each lost or regained contact with the leader."""
-        seeker = self._seeker
-        contact = "leader" if seeker.has_leader(now_ms) else "controllers"
-        if contact != "leader" and seeker.is_isolated(now_ms):
+        finder = self._finder
+        contact = "leader" if finder.has_leader(now_ms) else "controllers"
+        if contact != "leader" and finder.is_isolated(now_ms):
             contact = "isolated"
         if contact != self._contact:
             self._context.timeline.record(
                 "contact_changed",
                 contact=contact,
                 was=self._contact,
-                silent_ms=now_ms - seeker.leadership.last_contact_ms,
-                answering=seeker.responsive_controllers(now_ms),
+                silent_ms=now_ms - finder.leadership.last_contact_ms,
+                answering=finder.responsive_controllers(now_ms),
             )
             self._contact = contact
 
     def _tick(self):
         now_ms = self._clock.monotonic_ms()
-        self._seeker.tick(now_ms)
-        self._note_contact(now_ms)
-        changed = self._watch.poll(now_ms)
-        if changed is not None:
-            found = changed.discovery
-            self._seeker.set_seeds(
-                discovery.peer_addresses(found.seeds, found.peer_port)
+        self._finder.tick(now_ms)
+        self._record_contact(now_ms)
+        new_settings = self._watch.poll(now_ms)
+        if new_settings is not None:
+            new_discovery = new_settings.discovery
+            self._finder.set_seeds(
+                discovery.peer_addresses(new_discovery.seeds, new_discovery.peer_port)
+            )
+            self._context.timeline.record(
+                "settings_reloaded", seeds=new_discovery.seeds
             )
-            self._context.timeline.record("settings_reloaded", seeds=found.seeds)
 
 
-def build(context, outside):
+def build(context, external_services):
     """Make the frontend and start serving; see ``ops.daemon``."""
-    return Frontend(context, outside)
+    return Frontend(context, external_services)
--- a/alderreach/scripts/frontend.py
+++ b/alderreach/scripts/frontend.py
@@ -8,10 +8,10 @@
 
 
 def _build(context):
-    outside = service.Outside(
+    external_services = service.ExternalServices(
         targets.permission_asker(context.settings.cell.permission), callers.serve
     )
-    return service.build(context, outside)
+    return service.build(context, external_services)
 
 
 def main():
