--- a/alderreach/parser/__init__.py
+++ b/alderreach/parser/__init__.py
@@ -1,1 +1,1 @@
-"""Texts that people and programs send, checked whole."""
+"""Parsing and full validation of settings, questionnaires and configuration."""
--- a/alderreach/parser/configuration.py
+++ b/alderreach/parser/configuration.py
@@ -1,8 +1,8 @@
-"""What a team's configuration must satisfy, whoever wrote it.
+"""Validation of a team's configuration.
 
-The questionnaire and the operators' HTTP both check here, so that a mistake is refused
-in the same words on either way. Checks are plain functions from records to a list of
-``Mistake``; none of them stops at the first one.
+The questionnaire and the operators' HTTP API both use these checks, so both report a
+mistake in the same words. Checks are plain functions from records to a list of
+``Mistake``; none of them stops at the first mistake.
 """
 
 import collections
@@ -18,11 +18,12 @@
 WHEN_CUT_OFF = ("stay", "move")
 HOUR_MS = 3_600_000
 MONTH_MS = 31 * 24 * HOUR_MS
-# The largest task: far above any VM of today, far below a slip of unit (bytes for MiB).
+# Limits of one task: far above the size of any current VM, and far below the value that
+# a wrong unit gives (bytes instead of MiB).
 TASK_CPU_MILLIS_MAX = 1_024_000
 TASK_MEMORY_MB_MAX = 24 * 1024 * 1024
 TASK_ACCELERATORS_MAX = 64
-# The largest quota that a team may have.
+# Limits of a team's quota.
 QUOTA_CPU_MILLIS_MAX = 100_000 * 128_000
 QUOTA_MEMORY_MB_MAX = 100_000 * 1024 * 1024
 QUOTA_ACCELERATORS_MAX = 240_000
@@ -35,7 +36,7 @@
 
 
 class Mistake(typing.NamedTuple):
-    """One mistake: the item's key, the dotted field and what is wrong with it."""
+    """One mistake: the item's key, the dotted field and an error message."""
 
     key: str
     field: str
@@ -43,17 +44,17 @@
 
 
 def team_key(name):
-    """Key of a team's item."""
+    """Return the key of a team's item."""
     return f"team/{name}"
 
 
 def workload_key(team, name):
-    """Key of a workload's item."""
+    """Return the key of a workload's item."""
     return f"workload/{team}/{name}"
 
 
 def check_team(team):
-    """Check a team on its own."""
+    """Check the fields of a team."""
     checker = _ItemChecker(team_key(team.name))
     checker.check_name("name", team.name)
     checker.check_choice("objective", team.objective, OBJECTIVES)
@@ -69,7 +70,7 @@
 
 
 def check_workload(workload):
-    """Check a workload on its own."""
+    """Check the fields of a workload."""
     checker = _ItemChecker(workload_key(workload.team, workload.name))
     checker.check_name("name", workload.name)
     checker.check_name("team", workload.team)
@@ -105,7 +106,7 @@
 
 
 def check_team_workloads(team, workloads):
-    """Check a team's workloads against its quota and each other."""
+    """Check a team's workloads against its quota, one by one and in total."""
     mistakes = []
     for workload in workloads:
         mistakes += _check_against_quota(team, workload)
@@ -145,10 +146,10 @@
 
 
 def check_items(items, changed_keys):
-    """Check the whole map of ``key -> Team | Workload`` around the keys just written.
+    """Check the complete map of ``key -> Team | Workload`` after a change of some keys.
 
-    Only teams that a touched key belongs to are checked, so that nobody is refused
-    for a mistake of others; a service's name is compared with those of all teams.
+    Only the teams that own a changed key are checked, so that a change is not rejected
+    for another team's mistake. A service's name is compared with those of all teams.
     """
     mistakes = []
     workloads = collections.defaultdict(list)
@@ -187,11 +188,11 @@
         self.mistakes = []
 
     def add(self, field, message):
-        """Note a mistake."""
+        """Add a mistake."""
         self.mistakes.append(Mistake(self.key, field, message))
 
     def check_name(self, field, value):
-        """Check that a name can stand in a key and in a URL."""
+        """Check that a name is valid in a key and in a URL."""
         if not NAME.match(value):
             self.add(field, f"{value!r} {NAME_RULE}")
 
--- a/alderreach/parser/difference.py
+++ b/alderreach/parser/difference.py
@@ -1,4 +1,4 @@
-"""The difference between two sets of configuration items, for people.
+"""The difference between two sets of configuration items, for display.
 
 >>> show(difference({}, {"team/kai-tahi": team}))  # doctest: +SKIP
 ['+ team/kai-tahi', '    objective: packing', ...]
@@ -10,7 +10,7 @@
 
 
 class Difference(typing.NamedTuple):
-    """One item that differs; ``fields`` holds each (dotted field, old, new)."""
+    """One item that differs; ``fields`` holds (dotted field, old, new) tuples."""
 
     sign: str
     key: str
@@ -18,10 +18,10 @@
 
 
 def difference(old, new):
-    """Compare two dictionaries of records by key; in order of key.
+    """Compare two dictionaries of records by key; return the differences sorted by key.
 
     The sign is ``+`` for a new item, ``-`` for a deleted one and ``~`` for a changed
-    one; a changed one lists only the fields that changed.
+    one. A changed item lists only the fields that changed.
     """
     found = []
     for key in sorted(old.keys() | new.keys()):
@@ -40,7 +40,7 @@
 
 
 def show(differences):
-    """Lines for people."""
+    """Format differences as lines of text."""
     lines = []
     for entry in differences:
         lines.append(f"{entry.sign} {entry.key}")
@@ -53,7 +53,7 @@
 
 
 def _flatten(record, prefix=""):
-    """The fields of a record by dotted name; its own name is in the key already."""
+    """Return the fields of a record by dotted name."""
     if record is None:
         return {}
     flat = {}
--- a/alderreach/parser/questionnaire.py
+++ b/alderreach/parser/questionnaire.py
@@ -1,8 +1,8 @@
-"""The questionnaire a team fills in: one TOML file, checked whole.
+"""The questionnaire that a team fills in: one TOML file, fully validated.
 
-Three plain stages, each a function of its input alone: ``parse`` gives the answers or
-every mistake with its line, ``generate`` turns answers into configuration items, and
-``difference`` in ``alderreach.parser.difference`` shows what they would change.
+It is processed in three stages, each a pure function: ``parse`` returns the answers or
+every mistake with its line, ``generate`` converts answers to configuration items, and
+``difference`` in ``alderreach.parser.difference`` compares them with those in force.
 
 >>> answers, mistakes = parse(text, "serra-alta.toml")  # doctest: +SKIP
 >>> items = generate(answers)  # doctest: +SKIP
@@ -62,14 +62,14 @@
 
 
 class Answers(typing.NamedTuple):
-    """A whole questionnaire."""
+    """A complete questionnaire."""
 
     team: TeamAnswers
     workloads: tuple
 
 
 def parse(text, file):
-    """Read a questionnaire: ``(Answers, [])`` or ``(None, [Problem, ...])``."""
+    """Parse a questionnaire; return ``(Answers, [])`` or ``(None, [Problem, ...])``."""
     try:
         tables = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -91,7 +91,7 @@
 
 
 def generate(answers):
-    """The configuration items of a questionnaire, by key."""
+    """Return the configuration items of a questionnaire, by key."""
     items = {configuration.team_key(answers.team.name): _team_item(answers.team)}
     for workload in answers.workloads:
         key = configuration.workload_key(answers.team.name, workload.name)
@@ -139,7 +139,7 @@
         self.problems = []
 
     def add(self, path, message):
-        """Note a mistake at a dotted path; a second one there adds nothing."""
+        """Add a mistake at a dotted path, unless the path already has one."""
         if any(problem.key == path for problem in self.problems):
             return
         line = toml_lines.line_of(self.lines, path)
@@ -185,17 +185,17 @@
 
 
 def _value(collector, path, rule, value):
-    """The value of a key; in place of a wrong one, any of the right type.
+    """Return the value of a key, or a placeholder of the right type if it is invalid.
 
-    So the checks that follow find the mistakes of other keys too; a second mistake at
-    this path is not shown.
+    The placeholder lets the checks that follow report the mistakes of other keys. A
+    second mistake at this path is not reported.
     """
     if value is None:
         collector.add(path, f"is required: {rule.doc}")
     elif type(value) not in rule.types:
         collector.add(path, f"must be {questionnaire_keys.TYPE_NAMES[rule.types]}")
     elif rule.types is questionnaire_keys.NUMBER and not 0 <= value < 1e12:
-        collector.add(path, "must be a number from 0 on")
+        collector.add(path, "must be a number of at least 0")
     else:
         return value
     return questionnaire_keys.PLACEHOLDERS[rule.types]
@@ -208,13 +208,15 @@
         if any(problem.key == path for problem in collector.problems):
             continue
         if workload.name in lines:
-            message = f"{workload.name!r} stands on line {lines[workload.name]} too"
+            message = (
+                f"{workload.name!r} is already used on line {lines[workload.name]}"
+            )
             collector.add(path, message)
         lines.setdefault(workload.name, toml_lines.line_of(collector.lines, path))
 
 
 def _check_items(collector, answers):
-    """Check each item, and all of them together only if each is sound."""
+    """Check each item and, if all of them are valid, the items of the team together."""
     paths = {configuration.team_key(answers.team.name): "team"}
     mistakes = configuration.check_team(_team_item(answers.team))
     workloads = []
--- a/alderreach/parser/questionnaire_keys.py
+++ b/alderreach/parser/questionnaire_keys.py
@@ -1,7 +1,7 @@
-"""The keys of a questionnaire: type, default and the question each one answers.
+"""The keys of a questionnaire: types, default and description of each one.
 
-The parser checks by these tables and ``questionnaire new`` prints them as comments, so
-that what is asked and what is checked can't drift apart.
+The parser validates by these tables and ``questionnaire new`` prints them as comments,
+so the template and the checks can't diverge.
 """
 
 import typing
@@ -20,7 +20,7 @@
 
 
 class Rule(typing.NamedTuple):
-    """What one key takes; a default of None makes it required."""
+    """Types, default and description of a key; required if the default is None."""
 
     types: tuple
     default: typing.Any
@@ -89,7 +89,7 @@
     "gang": _TASK | _GANG,
 }
 
-# What a kind of workload is not asked for.
+# Values of the keys that a kind of workload does not have.
 UNASKED_DEFAULTS = {
     "slots": 0,
     "connections": 0,
--- a/alderreach/parser/questionnaire_template.py
+++ b/alderreach/parser/questionnaire_template.py
@@ -1,7 +1,7 @@
 """The commented questionnaire that ``alderreach questionnaire new`` writes.
 
-Every key stands there with the question it answers; one example of each kind of
-workload is given, and the file passes ``questionnaire check`` as it is.
+It has every key with its description and one example of each kind of workload, and it
+passes ``questionnaire check`` without changes.
 """
 
 import textwrap
@@ -54,7 +54,7 @@
 
 
 def template(team_name):
-    """The text of a new questionnaire for a team."""
+    """Return the text of a new questionnaire for a team."""
     team = {
         "name": team_name,
         "objective": "waiting",
--- a/alderreach/parser/settings.py
+++ b/alderreach/parser/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a daemon: one TOML file, checked whole.
+"""Settings of a daemon: one TOML file, fully validated.
 
-``load`` gives the settings and every mistake at once, each with file, line and key.
-Which listeners a role needs is checked here too.
+``load`` returns the settings, or every mistake with its file, line and key. It also
+checks that the listeners and other settings that the role requires are there.
 """
 
 import ipaddress
@@ -34,7 +34,7 @@
 
 
 class Settings(typing.NamedTuple):
-    """All settings of one daemon; ``peers`` leaves out the process itself."""
+    """All settings of one daemon; ``peers`` does not include the process itself."""
 
     process: schema.Process
     listen: schema.Listen
@@ -59,7 +59,7 @@
 
 
 def parse(text, file, role):
-    """Check the text of a settings file; returns as ``load``."""
+    """Parse the text of a settings file; returns the same as ``load``."""
     try:
         tables = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -95,7 +95,7 @@
         self.problems = []
 
     def add(self, path, message):
-        """Note a mistake at a dotted path."""
+        """Add a mistake at a dotted path."""
         line = toml_lines.line_of(self.lines, path)
         self.problems.append(problems.Problem(self.file, line, path, message))
 
@@ -138,7 +138,7 @@
         if peer is None:
             continue
         if peer.name in names:
-            collector.add(f"{path}.name", f"{peer.name!r} stands twice")
+            collector.add(f"{path}.name", f"{peer.name!r} is used by another peer")
         names.add(peer.name)
         if peer.role not in ROLES:
             collector.add(f"{path}.role", "must be entry, placer or keeper")
@@ -168,14 +168,18 @@
         collector.add("limits.queue_length", "must be below limits.http_threads")
     if timing.leader_beat_ms * 3 > timing.election_timeout_ms:
         collector.add(
-            "timing.leader_beat_ms", "must be at most a third of the election"
+            "timing.leader_beat_ms",
+            "must be at most a third of timing.election_timeout_ms",
         )
     if timing.owner_beat_ms * 3 > timing.owner_lease_ms:
         collector.add(
-            "timing.owner_beat_ms", "must be at most a third of the owner's lease"
+            "timing.owner_beat_ms", "must be at most a third of timing.owner_lease_ms"
         )
     if timing.target_heartbeat_ms * 2 > timing.suspect_after_ms:
-        collector.add("timing.suspect_after_ms", "must be at least two heartbeats")
+        collector.add(
+            "timing.suspect_after_ms",
+            "must be at least twice timing.target_heartbeat_ms",
+        )
 
 
 def _check_address(collector, path, address):
--- a/alderreach/parser/toml_lines.py
+++ b/alderreach/parser/toml_lines.py
@@ -1,7 +1,7 @@
-"""Where in a TOML text a key stands, for errors that name the line.
+"""Line numbers of the keys of a TOML text, for error messages.
 
-``tomllib`` gives values without positions. This reads only table headers and the
-start of assignments, which is enough for the flat files this project reads: tables,
+``tomllib`` returns values without positions. This module scans only table headers and
+the start of assignments, which is enough for the flat files of this project: tables,
 arrays of tables and plain keys. Keys inside inline tables get their parent's line.
 """
 
@@ -35,7 +35,7 @@
 
 
 def line_of(lines, path):
-    """Line of ``path``, or of its nearest parent that has one, or 1."""
+    """Return the line of ``path``, or else of its nearest known parent, or else 1."""
     while path:
         if path in lines:
             return lines[path]
@@ -44,7 +44,7 @@
 
 
 def line_of_error(error):
-    """The line a ``tomllib.TOMLDecodeError`` names in its text, 0 if none."""
+    """Return the line in a ``tomllib.TOMLDecodeError``'s text, or 0 if it has none."""
     words = str(error).replace(",", "").split()
     if "line" not in words:
         return 0
