--- a/alderreach/ops/frontend/__init__.py
+++ b/alderreach/ops/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The frontend: takes callers' requests and brings them to the cell's leader."""
+"""The frontend: accepts callers' requests and forwards them to the cell's leader."""
--- a/alderreach/ops/frontend/service.py
+++ b/alderreach/ops/frontend/service.py
@@ -1,7 +1,8 @@
-"""The frontend daemon: callers' requests go to the leader, its answers to the callers.
+"""The frontend daemon: forwards callers' requests to the leader, returns its answers.
 
-It holds no state that matters and decides nothing about jobs, so it can be lost, added
-or replaced at any moment. It is ready while it lately heard of a leader.
+It has no state that must survive it and makes no scheduling decisions, so a frontend
+can fail, be added or be replaced at any time. It is ready while it has had recent
+contact with a leader.
 """
 
 import time
@@ -13,17 +14,18 @@
 from alderreach.ops.entry import callers
 from alderreach.utils import tasks
 
-# The balancer asks once a second and takes two misses; callers still come until then.
+# The balancer checks once a second and removes a process after two failed checks. It
+# still sends callers until then.
 MIN_DRAIN_MS = 2300
 DRAIN_QUIET_MS = 300
 DRAIN_POLL_S = 0.02
 
 
 class ExternalServices(typing.NamedTuple):
-    """How the world around the cell is spoken to; given by the thin main.
+    """Access to the services outside the cell, provided by the main script.
 
-    ``serve_callers(context, leader_calls, in_flight, is_ready)`` opens the listeners of
-    callers and of the balancer's checks; ``ask_permission`` is as in
+    ``serve_callers(context, leader_calls, in_flight, is_ready)`` opens the listeners
+    for callers and for the balancer's checks; ``ask_permission`` is as in
     ``controller.service.ExternalServices``.
     """
 
@@ -72,7 +74,7 @@
         )
 
     def deliver(self, received):
-        """Take a peer's message; replies go straight to the thread that waits."""
+        """Handle a peer's message; replies go directly to the thread that waits."""
         message = received.message
         if isinstance(message, cell.CellReply):
             self._calls.deliver(message)
@@ -82,23 +84,23 @@
             self._task.put(received)
 
     def is_ready(self):
-        """Whether callers should come here."""
+        """Return whether this process should get requests."""
         now_ms = self._clock.monotonic_ms()
         return self._finder.has_leader(now_ms) and not self._context.draining.is_set()
 
     def status(self):
-        """What operators are shown."""
+        """Return the status shown to operators."""
         leadership = self._finder.leadership
         detail = {"leader": leadership.address, "epoch": leadership.epoch}
         detail["in_flight"] = self._in_flight.number
         return daemon.RoleStatus(0, "serving", self.is_ready(), detail)
 
     def drain(self):
-        """Serve what still comes until the balancer has noticed, then end.
+        """Serve requests until the balancer has removed this process, then return.
 
-        Refusing at once would cut requests in a planned stop: the balancer goes on
-        sending until it has missed two checks. Connections are closed after each answer
-        meanwhile, so that callers open their next one elsewhere.
+        Rejecting requests at once would fail them in a planned stop, since the balancer
+        keeps sending until two checks have failed. Meanwhile connections are closed
+        after each answer, so that callers open their next one at another process.
         """
         started_ms = self._clock.monotonic_ms()
         drain_ms = self._context.settings.timing.drain_ms
@@ -122,7 +124,7 @@
                 )
 
     def _record_contact(self, now_ms):
-        """A line for each lost or regained contact with the leader."""
+        """Record each change of contact with the leader on the time line."""
         finder = self._finder
         contact = "leader" if finder.has_leader(now_ms) else "controllers"
         if contact != "leader" and finder.is_isolated(now_ms):
--- a/alderreach/platform/__init__.py
+++ b/alderreach/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls, and nothing that decides."""
+"""The users' platform: its names, formats and calls, without any scheduling logic."""
--- a/alderreach/platform/answers.py
+++ b/alderreach/platform/answers.py
@@ -1,4 +1,4 @@
-"""From the leader's answers to the platform's status codes and bodies."""
+"""Conversion of the leader's answers to the platform's status codes and bodies."""
 
 import math
 import typing
@@ -33,7 +33,7 @@
 
 
 class Reply(typing.NamedTuple):
-    """An HTTP answer."""
+    """An HTTP response."""
 
     status: int
     body: bytes = b"{}"
@@ -41,7 +41,7 @@
 
 
 def reply_for_answer(answer):
-    """The reply for a ``cell.CellAnswer``."""
+    """Return the reply for a ``cell.CellAnswer``."""
     body = b"{}"
     if answer.kind == requests.STATE:
         body = wire.encode({"state": answer.text})
@@ -55,10 +55,10 @@
 
 
 def reply_for_outcome(outcome, is_change):
-    """The reply for a ``leader_calls.Outcome``.
+    """Return the reply for a ``leader_calls.Outcome``.
 
-    Without an answer a change that may have been made is a 504, whose sender asks again
-    under the same id; all else surely was not done, and is a 503.
+    Without an answer, a change that may have been made is a 504, and its sender retries
+    with the same id. Anything else had no effect and is a 503.
     """
     if outcome.answer is not None:
         return reply_for_answer(outcome.answer)
--- a/alderreach/platform/callers.py
+++ b/alderreach/platform/callers.py
@@ -1,4 +1,4 @@
-"""The callers' listener and the balancer's check, in the platform's protocol."""
+"""The listeners for callers and balancer checks, in the platform's protocol."""
 
 from absl import logging
 
@@ -8,10 +8,10 @@
 
 READY_PATH = "/-/readiness"
 DEADLINE_HEADER = "HTTP_DEADLINE_MS"
-# Callers that name no deadline wait about this long.
+# The approximate time that callers wait if they send no deadline.
 DEFAULT_DEADLINE_MS = 2800
 MAX_DEADLINE_MS = 30_000
-# The answer's way back to the caller.
+# Time reserved for sending the answer back to the caller.
 DEADLINE_MARGIN_MS = 80
 BALANCER_THREADS = 1
 
@@ -41,7 +41,7 @@
 
 
 def refuse(status, _message):
-    """The answer to bytes that never became a request."""
+    """Return the response to input that is not a valid request."""
     line = answers.STATUS_LINES.get(status, answers.STATUS_LINES[400])
     return http_connection.Refusal(line, (answers.JSON_HEADER,), b"{}")
 
@@ -56,10 +56,11 @@
 
 
 def _application(context, leader_calls, in_flight, is_ready):
-    """Connections end after an answer while this process is not ready.
+    """Return the WSGI application for callers.
 
-    An open connection stays with its process, also when the balancer has turned to
-    others, so its caller would go on asking one that can't help.
+    While this process is not ready, it closes each connection after the answer. An open
+    connection stays with its process even after the balancer has switched to others, so
+    its caller would keep sending requests to a process that can't serve them.
     """
     clock = context.clock
 
@@ -91,18 +92,18 @@
     try:
         outcome = leader_calls.call(request, give_up_ms)
     except Exception:
-        logging.exception("fault while answering %s %s", method, path)
+        logging.exception("unexpected error while answering %s %s", method, path)
         return answers.Reply(500)
     return answers.reply_for_outcome(outcome, is_change=method != "GET")
 
 
 def read_body(environ):
-    """The whole body of a request."""
+    """Return the complete body of a request."""
     return environ["wsgi.input"].read()
 
 
 def deadline_ms(environ):
-    """How long the caller waits, as it says or as is usual."""
+    """Return the caller's time limit, from its header or by default."""
     try:
         requested_ms = int(float(environ.get(DEADLINE_HEADER, "")))
     except ValueError:
--- a/alderreach/platform/control.py
+++ b/alderreach/platform/control.py
@@ -1,7 +1,7 @@
-"""The listener of workers and operators, in the platform's protocol.
+"""The listener for workers and operators, in the platform's protocol.
 
-Any controller takes these calls and brings them to the leader. A worker is told the
-leader's own address for its next heartbeats.
+Every controller accepts these calls and forwards them to the leader. A worker's answer
+holds the leader's own address, for its next heartbeats.
 """
 
 from alderreach.core.generated import cell
@@ -11,7 +11,7 @@
 TARGET_PREFIX = "/-/instances/"
 CONFIG_PATH = "/-/config"
 CONTROL_THREADS = 24
-# Workers and operators wait a second for an answer.
+# Workers and operators wait 1 s for an answer.
 WORKER_WAIT_MS = 900
 OPERATOR_WAIT_MS = 950
 
@@ -68,8 +68,8 @@
 
 
 def _with_leader_address(outcome, reply):
-    """Tell a worker where the leader is, if it answered."""
+    """Add the leader's address to the reply to a worker, if the leader answered."""
     if reply.status != 200 or not outcome.answer.text:
         return reply
-    # The platform calls it a URL; it is an address, host:port.
+    # The platform's field is named a URL, but holds an address, host:port.
     return reply._replace(body=wire.encode({"heartbeat_url": outcome.answer.text}))
--- a/alderreach/platform/targets.py
+++ b/alderreach/platform/targets.py
@@ -1,8 +1,8 @@
 """Calls to workers and to the permission service, over HTTP.
 
-Every call has a time limit of its own, since a connection may go silent without being
-reset. What is known of a call that failed is told apart: before the request was sent
-nothing can have happened, afterwards anything may have.
+Every call has its own timeout, since a connection may stall without being reset. The
+result of a failed call distinguishes two cases: if the request was not sent, it had no
+effect; if it was sent, it may have had one.
 """
 
 import urllib3
@@ -19,24 +19,24 @@
 ADVISE_PATH = "/-/advise"
 INCARNATION_HEADER = "Expect-Instance"
 
-# A worker answers an order within milliseconds; one that takes longer than this is
-# asked again, which is harmless.
+# A worker answers an order within milliseconds. After this timeout the order is sent
+# again, which is harmless.
 ORDER_TIMEOUT_S = 0.5
 CONNECT_TIMEOUT_S = 0.5
-# On top of the time a poll may wait for an end.
+# Added to the time that a worker may hold a poll until a run ends.
 POLL_MARGIN_S = 0.6
-# A decision with the longest list takes about a second; calls before it are waited for.
+# A decision on the longest list takes about 1 s, and earlier calls are answered first.
 ADVISE_TIMEOUT_S = 3.0
 JSON_TYPE = "application/json"
 
 
 def open_session(address):
-    """One kept connection to a worker, for calls in turn."""
+    """Return a session for sequential calls to a worker over one kept connection."""
     return http_client.Client(address, CONNECT_TIMEOUT_S)
 
 
 def _post(session, record, path, body, timeout_s):
-    """Send one request to the life of a worker that a record names."""
+    """Send one request to the incarnation of a worker that a record names."""
     headers = {"Content-Type": JSON_TYPE, INCARNATION_HEADER: record.target_id}
     return session.post(path, body, headers, timeout_s)
 
@@ -49,7 +49,7 @@
 
 
 async def send_order(session, record, order):
-    """Carry out one order; returns an ``orders.OrderResult``."""
+    """Send one order; returns an ``orders.OrderResult``."""
     path, encode = ORDERS[type(order)]
     try:
         answer = await _post(session, record, path, encode(order), ORDER_TIMEOUT_S)
@@ -82,15 +82,15 @@
 
 
 def worker_calls():
-    """The calls to workers that a controller's links make."""
+    """Return the calls to workers that a controller's links make."""
     return target_link.Calls(open_session, send_order, send_poll)
 
 
 def permission_asker(address):
-    """A function that asks the permission service at ``address``.
+    """Return a function that queries the permission service at ``address``.
 
     ``ask(step, targets)`` returns a list of ``cell.Ticket``, or None if there was no
-    answer.
+    answer. Without an address there is never an answer.
     """
     if not address:
         return lambda _step, _targets: None
--- a/alderreach/platform/wire.py
+++ b/alderreach/platform/wire.py
@@ -1,8 +1,9 @@
-"""Bodies of the platform's protocol, decoded once into the types of this project.
+"""Conversion between the platform's message bodies and the types of this project.
 
-The structures below bear the platform's field names; nothing outside this folder sees
-them. Where such a name misleads, a comment says what the field holds. Absent fields are
-empty, as the platform leaves out what is 0, false or empty; unknown ones are ignored.
+The structures below have the platform's field names and are used in this package only.
+Where such a name misleads, a comment says what the field holds. The platform omits
+fields that are 0, false or empty, so absent fields get these values. Unknown fields are
+ignored.
 """
 
 import msgspec
@@ -23,12 +24,12 @@
     same_rack: bool = False
     requirements: str = ""  # one label, not several
     data_rack: str = ""
-    anti_affinity: int = 0  # the most tasks of the step on one worker
+    anti_affinity: int = 0  # maximum of the step's tasks on one worker
     allow_duplicates: bool = False
     long_running: bool = False
     image: str = ""
-    target_ms: float = 0  # serving tasks: the tail latency to stay below
-    fills: bool = False  # best effort: its processor time is not set aside
+    target_ms: float = 0  # serving tasks: upper bound of the tail latency
+    fills: bool = False  # best effort: no processor time is reserved for it
     max_unavailable: int = 0
 
 
@@ -55,7 +56,7 @@
     labels: list[str]
     sequence: int
     clock_ms: float = -1
-    born: int = 0  # Unix time of the start of this life
+    born: int = 0  # Unix time of the start of this incarnation
     machine: str = ""
 
 
@@ -112,7 +113,7 @@
 
 
 class MalformedError(ValueError):
-    """A body that is not what the protocol says; the text tells why."""
+    """A body that violates the protocol; the message says how."""
 
 
 def _decode(decode, body):
@@ -123,7 +124,7 @@
 
 
 def submission(host, path, body):
-    """A job's body as a ``cell.SubmitJob``; raises ``MalformedError``."""
+    """Convert a job's body to a ``cell.SubmitJob``; raises ``MalformedError``."""
     job = _decode(_decode_job, body)
     steps = [
         cell.Step(
@@ -158,7 +159,7 @@
 
 
 def announcement(target_id, body):
-    """A worker's heartbeat as a ``cell.AnnounceTarget``; raises ``MalformedError``."""
+    """Convert a heartbeat to a ``cell.AnnounceTarget``; raises ``MalformedError``."""
     decoded = _decode(_decode_announcement, body)
     if decoded.state not in STATES:
         raise MalformedError(f"no such state: {decoded.state}")
@@ -181,10 +182,10 @@
 
 
 def configuration(body):
-    """A configuration's body as a ``cell.CellConfig``; raises ``MalformedError``.
+    """Convert a configuration's body to a ``cell.CellConfig``.
 
-    Invalid beyond its form is a route to an unknown service, two routes at one place,
-    and a timeout of nothing.
+    Raises ``MalformedError``, also for a route to an unknown service, for two routes
+    with the same host and path prefix and for a timeout that is not positive.
     """
     decoded = _decode(_decode_config, body)
     names = {service.name for service in decoded.services}
@@ -231,7 +232,7 @@
 
 
 def start_body(order):
-    """The body of an order to start a run."""
+    """Encode the body of an order to start a run."""
     body = {
         "task": order.task,
         "run": order.run,
@@ -247,12 +248,12 @@
 
 
 def stop_body(order):
-    """The body of an order to stop a run."""
+    """Encode the body of an order to stop a run."""
     return encode({"task": order.task, "run": order.run, "fencing_token": order.epoch})
 
 
 def pace_body(order):
-    """The body of an order to pace a run."""
+    """Encode the body of an order to pace a run."""
     return encode(
         {
             "task": order.task,
@@ -264,7 +265,7 @@
 
 
 def poll_body(poll):
-    """The body of a poll."""
+    """Encode the body of a poll."""
     body = {
         "fencing_token": poll.epoch,
         "ack_cursor": poll.cursor,
@@ -276,16 +277,16 @@
 
 
 def advise_body(step, targets):
-    """The body of a question to the permission service."""
+    """Encode the body of a query to the permission service."""
     return encode({"step": step, "workers": targets})
 
 
 def tickets(body):
-    """The permission service's answer as a list of ``cell.Ticket``."""
+    """Convert the permission service's answer to a list of ``cell.Ticket``."""
     return [cell.Ticket(*row) for row in _decode(_decode_advise_answer, body).good]
 
 
-# What a worker's refusal means here.
+# Outcomes of an order by the reason of a worker's 409 answer.
 OUTCOME_BY_REASON = {
     "fence": orders.FENCED,
     "old": orders.STALE_RUN,
@@ -293,6 +294,7 @@
     "room": orders.NO_CAPACITY,
     "ticket": orders.NO_TICKET,
 }
+# Outcomes of an order by the HTTP status of the other answers.
 OUTCOME_BY_STATUS = {
     200: orders.OK,
     400: orders.REFUSED,
@@ -303,7 +305,7 @@
 
 
 def order_result(status, body):
-    """A worker's answer to an order."""
+    """Convert a worker's answer to an order to an ``orders.OrderResult``."""
     decoded = _decode(_decode_worker_answer, body) if body else _WorkerAnswer()
     outcome = OUTCOME_BY_STATUS.get(status, orders.UNKNOWN)
     if status == 409:
@@ -312,7 +314,7 @@
 
 
 def poll_result(status, body):
-    """A worker's answer to a poll."""
+    """Convert a worker's answer to a poll to an ``orders.PollResult``."""
     if status != 200:
         result = order_result(status, body)
         return orders.PollResult(result.outcome, result.clock_ms, detail=result.detail)
@@ -324,7 +326,9 @@
             for row in decoded.ended
         ]
     except (IndexError, TypeError, ValueError) as error:
-        raise MalformedError(f"a row of a worker's lists: {error}") from error
+        raise MalformedError(
+            f"malformed row in a worker's list of runs: {error}"
+        ) from error
     return orders.PollResult(
         orders.OK, _clock_ms(decoded), decoded.born, running, ended
     )
--- a/alderreach/scripts/__init__.py
+++ b/alderreach/scripts/__init__.py
@@ -1,1 +1,1 @@
-"""Thin mains of the daemons and of the command-line client."""
+"""Main scripts of the daemons and of the command-line client."""
--- a/alderreach/scripts/controller.py
+++ b/alderreach/scripts/controller.py
@@ -1,4 +1,4 @@
-"""alderreach-controller SETTINGS.toml: thin main of the controller on the platform."""
+"""alderreach-controller SETTINGS.toml: starts the controller on the platform."""
 
 import sys
 
--- a/alderreach/scripts/entry.py
+++ b/alderreach/scripts/entry.py
@@ -1,4 +1,4 @@
-"""alderreach-entry SETTINGS.toml: thin main of the entry daemon."""
+"""alderreach-entry SETTINGS.toml: starts the entry daemon."""
 
 import sys
 
--- a/alderreach/scripts/frontend.py
+++ b/alderreach/scripts/frontend.py
@@ -1,4 +1,4 @@
-"""alderreach-frontend SETTINGS.toml: thin main of the frontend on the platform."""
+"""alderreach-frontend SETTINGS.toml: starts the frontend on the platform."""
 
 import sys
 
--- a/alderreach/scripts/keeper.py
+++ b/alderreach/scripts/keeper.py
@@ -1,4 +1,4 @@
-"""alderreach-keeper SETTINGS.toml: thin main of the keeper daemon."""
+"""alderreach-keeper SETTINGS.toml: starts the keeper daemon."""
 
 import sys
 
--- a/alderreach/scripts/placer.py
+++ b/alderreach/scripts/placer.py
@@ -1,4 +1,4 @@
-"""alderreach-placer SETTINGS.toml: thin main of the placer daemon."""
+"""alderreach-placer SETTINGS.toml: starts the placer daemon."""
 
 import sys
 
