--- a/alderreach/ops/client/__init__.py
+++ b/alderreach/ops/client/__init__.py
@@ -1,1 +1,1 @@
-"""The library behind the command line: calls to entries, plans of changes, tables."""
+"""The library of the command line: calls to entries, plans of changes and tables."""
--- a/alderreach/ops/client/api.py
+++ b/alderreach/ops/client/api.py
@@ -1,9 +1,9 @@
-"""Calls to the operators' HTTP of one or several entries.
+"""Calls to the operators' HTTP API of one or several entries.
 
-An entry that can't be reached, that drains or that has no quorum is passed over for
-the next one, with the same idempotency key, so that a change is made once however often
-it is sent. What is told at the end is exact: if an attempt may have been taken and no
-later one told how it ended, the failure says so and names the key to ask again with.
+If an entry can't be reached, drains or has no quorum, the request goes to the next one
+with the same idempotency key, so a change is made only once however often it is sent.
+If an attempt may have been accepted and no later one returned its outcome, the failure
+says so and gives the key to retry with.
 """
 
 import json
@@ -27,11 +27,11 @@
 EXIT_REFUSED = 1
 EXIT_BAD_INPUT = 2
 EXIT_UNREACHABLE = 3
-# Another entry, or the same one a little later, may well answer these otherwise.
+# Errors that another entry, or the same one later, may not return: retried.
 RETRIED_KINDS = ("no_quorum", "draining", "write_unconfirmed", "overloaded", "internal")
-# Of these, the attempt may have been taken all the same.
+# Of these, errors after which the request may still have been accepted.
 UNCERTAIN_KINDS = ("write_unconfirmed", "internal")
-# Not elsewhere either, but it may be reached later.
+# Errors that every entry returns for now; a later call may succeed.
 UNREACHABLE_KINDS = ("no_owner",)
 BAD_INPUT_KINDS = (
     "malformed_request",
@@ -48,7 +48,7 @@
 
 
 class Failure(typing.NamedTuple):
-    """Why a command failed: exit code, text for people, problem document if any."""
+    """Why a command failed: exit code, message and problem document."""
 
     exit_code: int
     message: str
@@ -64,12 +64,12 @@
 
 
 def fail(exit_code, message):
-    """An ``Err`` without a problem document."""
+    """Return an ``Err`` whose document holds only the message."""
     return Err(Failure(exit_code, message, {"detail": message}))
 
 
 class Client:
-    """A caller of several entries; it stays with the one that answered last."""
+    """A client of several entries that prefers the one that answered last."""
 
     def __init__(
         self, entries, token, http=None, clock=clocks.SYSTEM, sleep=time.sleep
@@ -82,12 +82,12 @@
         self._sleep = sleep
 
     def get(self, path, **query):
-        """Read: ``Ok(document)`` or ``Err(Failure)``; empty values are left out."""
+        """Read: ``Ok(document)`` or ``Err(Failure)``; empty values are omitted."""
         fields = {name: str(value) for name, value in query.items() if value}
         return self._call("GET", path, fields, None, "")
 
     def change(self, method, path, body=None, key=""):
-        """Change something once: ``Ok(document)`` or ``Err(Failure)``."""
+        """Make a change at most once: ``Ok(document)`` or ``Err(Failure)``."""
         return self._call(method, path, {}, body, key or make_key(self._wall_ms()))
 
     def _call(self, method, path, fields, body, key):
@@ -133,7 +133,7 @@
 
 
 def path(*parts):
-    """The path of a resource, each part quoted whatever people typed.
+    """Return the path of a resource with each part URL-quoted.
 
     >>> path("v1", "jobs", "a/b")
     '/v1/jobs/a%2Fb'
@@ -142,9 +142,9 @@
 
 
 def make_key(wall_ms):
-    """A fresh idempotency key that tells when it was made.
+    """Return a new idempotency key that contains the time it was made.
 
-    The time is part of the change, so a resend must carry the first attempt's.
+    The time is part of the change, so a retry must send that of the first attempt.
 
     >>> asked_wall_ms(make_key(1764700000000))
     1764700000000
@@ -153,13 +153,13 @@
 
 
 def asked_wall_ms(key):
-    """When a key was made; 0 for a key from elsewhere."""
+    """Return the time a key was made; 0 for a key that holds none."""
     text = key.partition("-")[0]
     return int(text) if text.isdecimal() and len(text) < WALL_MS_DIGITS else 0
 
 
 def url(entry, path, fields):
-    """The URL of a path at an entry."""
+    """Return the URL of a path at an entry."""
     query = urllib.parse.urlencode(fields) if fields else ""
     return f"http://{entry}{path}" + (f"?{query}" if query else "")
 
@@ -179,7 +179,7 @@
 
 
 def describe(document):
-    """A problem document for people: its title, then each mistake or the detail."""
+    """Format a problem document: its title, then each mistake or the detail."""
     lines = [document.get("title", "The entry refused")]
     if document.get("mistakes"):
         for mistake in document["mistakes"]:
--- a/alderreach/ops/client/moments.py
+++ b/alderreach/ops/client/moments.py
@@ -1,4 +1,4 @@
-"""Dates that people write, as Unix time."""
+"""Conversion of dates in command-line options to Unix time."""
 
 import datetime
 
@@ -10,7 +10,7 @@
 
 
 def parse(text, name):
-    """A date and time with its zone as Unix milliseconds, or a failure.
+    """Parse a date and time with its zone as Unix milliseconds, or return a failure.
 
     >>> parse("1970-01-01T00:01Z", "--start").ok_value
     60000
--- a/alderreach/ops/client/plans.py
+++ b/alderreach/ops/client/plans.py
@@ -1,7 +1,7 @@
-"""Plans of configuration changes: from a questionnaire's items and those in force.
+"""Plans of configuration changes: the items in force compared with new ones.
 
-Plain functions: documents of ``GET /v1/config`` in, the writes of ``PUT /v1/config``
-and the difference for people out.
+Pure functions that convert a document of ``GET /v1/config`` and new items to the writes
+of ``PUT /v1/config`` and a difference for display.
 """
 
 import typing
@@ -14,9 +14,9 @@
 
 
 class Plan(typing.NamedTuple):
-    """What an apply would do: ``writes`` for the API, ``lines`` for people.
+    """The changes of an apply: ``writes`` for the API, ``lines`` for display.
 
-    ``summary`` is kept in the history: new and deleted items by key alone.
+    ``summary`` is stored in the history; it lists new and deleted items by key only.
     """
 
     writes: list
@@ -25,10 +25,10 @@
 
 
 def plan(document, team_name, new_items):
-    """Compare a team's items in force with the ones generated.
+    """Plan the changes from a team's items in force to the new ones.
 
-    ``document`` is what ``GET /v1/config`` answered. Workloads that are in force but no
-    longer in the questionnaire are deleted.
+    ``document`` is the answer of ``GET /v1/config``. Items that are in force but not in
+    ``new_items`` are deleted.
     """
     versions, old_items = items_of_team(document, team_name)
     differences = difference.difference(old_items, new_items)
@@ -53,7 +53,7 @@
 
 
 def items_of_team(document, team_name):
-    """The versions and the records of a team's items in force, each by key."""
+    """Return the versions and the records of a team's items in force, by key."""
     versions, items = {}, {}
     own_prefix = configuration.workload_key(team_name, "")
     for item in document["items"]:
--- a/alderreach/ops/client/timelines.py
+++ b/alderreach/ops/client/timelines.py
@@ -1,20 +1,21 @@
 """The timeline of one request, job, task or worker, from the logs of several processes.
 
-Log lines may come with anything before their JSON object and in any order of processes.
-Lines of one process keep their order by its steady clock; processes are merged by wall
-time, where a wall clock that stepped back is held at its last value, as on the time
-line. ``timeline_of`` takes lines and returns text; it reads no file.
-
-Between the lines of the id itself stands, marked by a dot, what happened around it at
-that time: changes of leadership, starts and stops of processes, and what befell the
-workers and frontends that the timeline names. That is mostly where the cause is.
+Log lines may have any prefix before their JSON object, and the lines of the processes
+may be mixed in any order. Lines of one process are sorted by its monotonic clock.
+Processes are merged by wall time; if a wall clock stepped back, its last value is used
+until it has caught up, as on the time line. ``timeline_of`` converts lines to text and
+reads no file.
+
+The lines of the id are shown together with context lines, marked by a dot: changes of
+leadership, starts and stops of processes, and events of the workers and frontends that
+the timeline names. The cause of a failure is usually found there.
 """
 
 import json
 import typing
 
 ID_FIELDS = ("job", "task", "path", "target", "request_id")
-# What may explain a timeline though it bears no id of it; see ``_context_filter``.
+# Events shown as context of a timeline without having its id; see ``_context_filter``.
 GLOBAL_EVENTS = (
     "leadership_gained",
     "leadership_lost",
@@ -30,14 +31,15 @@
     "worker_restarted",
 )
 PROCESS_EVENTS = ("contact_changed", "events_dropped")
-# So long before the first line a cause may lie: an election, a lease's last second.
+# The cause may precede the first line by up to this time: an election, or the last
+# second of a lease.
 CONTEXT_BEFORE_MS = 2000
 CONTEXT_AFTER_MS = 500
 FIXED_FIELDS = ("wall_ms", "mono_ms", "process", "boot", "role", "event")
 
 
 class Entry(typing.NamedTuple):
-    """One log line, placed among those of other processes."""
+    """One log line; ``sort_ms`` orders it among those of other processes."""
 
     sort_ms: int
     process: str
@@ -47,7 +49,7 @@
 
 
 def timeline_of(lines, wanted_id):
-    """The lines that concern ``wanted_id``, as text, oldest first; empty if none."""
+    """Format the lines that concern ``wanted_id``, oldest first; empty if none does."""
     entries = sorted(_read_entries(lines), key=lambda entry: entry[:3])
     own_entries = [entry for entry in entries if concerns(entry.fields, wanted_id)]
     if not own_entries:
@@ -62,7 +64,7 @@
 
 
 def _context_filter(own_entries):
-    """A function that says whether an entry happened around a timeline's own ones."""
+    """Return a predicate that selects the context entries of a timeline's own ones."""
     first_ms, last_ms = (
         own_entries[0].sort_ms - CONTEXT_BEFORE_MS,
         own_entries[-1].sort_ms + CONTEXT_AFTER_MS,
@@ -84,7 +86,7 @@
 
 
 def _read_entries(lines):
-    """All lines that can be read, each at a time that never runs back."""
+    """Parse all valid lines; the times of one process never decrease."""
     by_process = {}
     for line in lines:
         fields = _parse_line(line)
@@ -112,7 +114,7 @@
 
 
 def concerns(fields, wanted_id):
-    """Whether a line is about the id: itself, a task of it, or a path that ends in it.
+    """Return whether a line has the id, a task of it, or a path that ends in it.
 
     >>> concerns({"task": "5c0e.0.1.2"}, "5c0e"), concerns({"job": "5c"}, "5c0e")
     (True, False)
--- a/alderreach/ops/client/views.py
+++ b/alderreach/ops/client/views.py
@@ -1,14 +1,15 @@
-"""Documents of the operators' HTTP as lines for people."""
+"""Formatting of the documents of the operators' HTTP API as lines of text."""
 
 import datetime
 
 EMPTY = "none"
-# A keeper tells the version of each follower; the followers' own rows show it already.
+# A keeper's detail has each follower's version under this prefix. It is omitted, since
+# the followers' own rows show it.
 FOLLOWER_VERSIONS = "version."
 
 
 def table(headers, rows):
-    """Columns padded to their widest cell.
+    """Format rows as columns, each padded to its widest cell.
 
     >>> table(("name", "tasks"), [("a", 3)])
     ['name  tasks', 'a     3']
@@ -23,12 +24,12 @@
 
 
 def rows_or_none(headers, rows):
-    """A table, or one word where there are no rows."""
+    """Format a table, or ``EMPTY`` if there are no rows."""
     return table(headers, rows) if rows else [EMPTY]
 
 
 def format_time(wall_ms):
-    """A Unix time in milliseconds as UTC; a dash where it is unknown."""
+    """Format a Unix time in milliseconds as UTC; a dash if it is unknown."""
     if not wall_ms:
         return "-"
     time_utc = datetime.datetime.fromtimestamp(wall_ms / 1000, datetime.UTC)
@@ -36,7 +37,7 @@
 
 
 def teams(document):
-    """All teams, a line each."""
+    """Format all teams, a line each."""
     rows = []
     for item in document["items"]:
         team, quota = item["value"], item["value"]["quota"]
@@ -56,7 +57,7 @@
 
 
 def workloads(document):
-    """All workloads, a line each."""
+    """Format all workloads, a line each."""
     rows = []
     for item in document["items"]:
         workload, task = item["value"], item["value"]["task"]
@@ -78,17 +79,17 @@
 
 
 def processors(resources):
-    """Processors of resources, without trailing zeros."""
+    """Format the processors of resources, without trailing zeros."""
     return f"{resources['cpu_millis'] / 1000:g}"
 
 
 def gigabytes(resources):
-    """Memory of resources in GiB, without trailing zeros."""
+    """Format the memory of resources in GiB, without trailing zeros."""
     return f"{resources['memory_mb'] / 1024:g}"
 
 
 def items(document):
-    """Configuration items in full: key, version and each field."""
+    """Format configuration items in full: key, version and each field."""
     lines = [f"version {document['version']}"]
     if not document["current"]:
         lines.append(NOT_CURRENT)
@@ -102,7 +103,7 @@
 
 
 def flatten(value, prefix=""):
-    """The fields of an object with dotted names for inner objects."""
+    """Yield the fields of an object, with dotted names for nested objects."""
     for name, entry in value.items():
         if isinstance(entry, dict):
             yield from flatten(entry, f"{prefix}{name}.")
@@ -111,7 +112,7 @@
 
 
 def history(document):
-    """Accepted changes, the newest first."""
+    """Format accepted changes, newest first."""
     rows = [
         (change["version"], format_time(change["wall_ms"]), change["author"])
         + (change["summary"],)
@@ -121,7 +122,7 @@
 
 
 def windows(document):
-    """Maintenance windows, the earliest first."""
+    """Format maintenance windows, earliest first."""
     rows = [
         (
             window["window_id"],
@@ -136,7 +137,7 @@
 
 
 def jobs(document):
-    """Jobs, the newest first."""
+    """Format jobs, newest first."""
     rows = [
         (
             job["job_id"],
@@ -156,7 +157,7 @@
 
 
 def job(document):
-    """One job in full."""
+    """Format one job in full."""
     lines = [f"{name}: {value}" for name, value in document.items() if name != "tasks"]
     views = document["tasks"]
     rows = [(v["task_id"], v["attempt"], v["state"], v["worker_id"]) for v in views]
@@ -166,7 +167,7 @@
 
 
 def targets(document):
-    """Targets, a line each."""
+    """Format targets, a line each."""
     rows = []
     for target in document["targets"]:
         reserved, capacity = target["reserved"], target["capacity"]
@@ -193,7 +194,7 @@
 
 
 def members(document):
-    """The keepers' membership, a line each."""
+    """Format the keepers' membership, a line each."""
     rows = []
     for member in document["members"]:
         part = "voter" if member["voter"] else "learner"
@@ -204,7 +205,7 @@
 
 
 def status(document):
-    """The cell and each of its processes."""
+    """Format the state of the cell and of each process."""
     lines = [f"version {document['version']}"]
     lines.append("quorum: " + ("yes" if document["quorum"] else "no leader answered"))
     rows = []
@@ -231,7 +232,7 @@
 
 
 def timeline(document):
-    """Events, a line each, oldest first."""
+    """Format events, a line each, oldest first."""
     lines = []
     for event in document["events"]:
         ids = " ".join(
--- a/alderreach/scripts/client.py
+++ b/alderreach/scripts/client.py
@@ -1,7 +1,7 @@
-"""alderreach: thin main of the operators' command line.
+"""alderreach: the operators' command line.
 
-Exit codes: 0 done, 1 refused or lost a race, 2 bad input, 3 nothing could be reached
-or confirmed.
+Exit codes: 0 success, 1 refused or a concurrent change won, 2 bad input, 3 no entry
+could be reached or the outcome could not be confirmed.
 """
 
 import sys
@@ -57,7 +57,7 @@
 
 
 def application():
-    """The application with all commands, which raises on wrong usage."""
+    """Return the application with all commands; it raises an error on wrong usage."""
     app = Application("alderreach", alderreach.__version__)
     app.auto_exits(False)
     app.catch_exceptions(False)
@@ -67,7 +67,7 @@
 
 
 def run_safely(execute, io):
-    """Run the application; wrong usage gives an exit code, not a traceback."""
+    """Run the application; wrong usage gives an error, not a traceback."""
     try:
         return execute()
     except CleoError as error:
--- a/alderreach/scripts/commands/__init__.py
+++ b/alderreach/scripts/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of ``alderreach``, thin: options in, a call, lines out."""
+"""The commands of ``alderreach``: each reads options, makes a call and prints lines."""
--- a/alderreach/scripts/commands/base.py
+++ b/alderreach/scripts/commands/base.py
@@ -1,4 +1,4 @@
-"""What every command shares: entries, token, output and exit codes."""
+"""Common parts of all commands: entries, token, output and exit codes."""
 
 import json
 import os
@@ -42,24 +42,24 @@
 class ApiCommand(Command):
     """A command that calls an entry.
 
-    ``call(client)`` gives ``Ok(document)`` or ``Err(api.Failure)``; ``view(document)``
-    its lines.
+    Subclasses define ``call(client)``, which returns ``Ok(document)`` or
+    ``Err(api.Failure)``, and ``view(document)``, which formats it as lines.
     """
 
     options = API_OPTIONS
 
     def handle(self):
-        """Run the command; returns the exit code."""
+        """Run the command and return its exit code."""
         client = self.connect()
         result = client if isinstance(client, Err) else self.call(client.ok_value)
         return self.finish(result)
 
     def call(self, client):
-        """Ask the entry; each command has its own."""
+        """Call the entry; each command overrides this."""
         raise NotImplementedError
 
     def view(self, document):
-        """Lines for people; each command has its own."""
+        """Format the document as lines; each command overrides this."""
         raise NotImplementedError
 
     def finish(self, result):
@@ -74,7 +74,7 @@
         return 0
 
     def connect(self):
-        """A client from options and environment: ``Ok(Client)`` or a failure."""
+        """Make a client from options and environment: ``Ok(Client)`` or a failure."""
         entries = self.option("entry") or []
         if not entries:
             text = os.environ.get(ENTRY_VARIABLE, "")
@@ -92,11 +92,11 @@
         return Ok(api.Client(entries, token.ok_value))
 
     def key(self):
-        """The idempotency key asked for, or empty for a fresh one."""
+        """Return the idempotency key given as an option; empty for a new one."""
         return self.option("idempotency-key") or ""
 
     def confirm_change(self, question):
-        """Ask before a change: ``Ok`` to go on, or a failure."""
+        """Ask for confirmation of a change: ``Ok`` if confirmed, or a failure."""
         if self.option("yes"):
             return Ok(None)
         stream = self.io.input.stream
@@ -109,7 +109,7 @@
 
 
 def read_token(path):
-    """The token in a file: ``Ok(token)`` or a failure that says what to do."""
+    """Read the token from a file: ``Ok(token)`` or a failure that says what to do."""
     if not path:
         text = f"no token; give --token-file or set {TOKEN_VARIABLE}"
         return api.fail(api.EXIT_BAD_INPUT, text)
@@ -124,17 +124,17 @@
 
 
 def write(command, line):
-    """Print a line as it is, whatever brackets it holds."""
+    """Print a line literally, even if it contains angle brackets."""
     command.io.write_line(escape(line))
 
 
 def escape(text):
-    """Keep cleo from taking ``<...>`` in a text for a style."""
+    """Escape ``<...>`` in a text, which cleo would interpret as a style tag."""
     return text.replace("<", "\\<")
 
 
 def show_failure(command, failure):
-    """Print why a command failed; returns its exit code."""
+    """Print why a command failed and return its exit code."""
     if command.option("json"):
         command.line(json.dumps(failure.document, indent=2), style=None)
     else:
--- a/alderreach/scripts/commands/cell.py
+++ b/alderreach/scripts/commands/cell.py
@@ -7,22 +7,22 @@
 
 
 class Status(base.ApiCommand):
-    """Every process of the cell."""
+    """Show every process of the cell."""
 
     name = "status"
     description = "Show every process, its state and the version it has in force."
 
     def call(self, client):
-        """Ask the entry, which asks all."""
+        """Query the entry, which queries all processes."""
         return client.get("/v1/status")
 
     def view(self, document):
-        """A line for each process."""
+        """Format a line for each process."""
         return views.status(document)
 
 
 class Timeline(base.ApiCommand):
-    """The merged time line."""
+    """Show the merged time line."""
 
     name = "timeline"
     description = "Show the events of all processes as one line, oldest first."
@@ -33,12 +33,12 @@
         option("target", None, "Only events of this target.", flag=False),
         option("team", None, "Only events of this team.", flag=False),
         option(
-            "limit", None, "The newest so many events; 200 if left out.", flag=False
+            "limit", None, "How many of the newest events; 200 if left out.", flag=False
         ),
     ]
 
     def call(self, client):
-        """Ask the entry, which asks all."""
+        """Query the entry, which queries all processes."""
         return client.get(
             "/v1/timeline",
             request=self.option("request"),
@@ -49,5 +49,5 @@
         )
 
     def view(self, document):
-        """A line for each event."""
+        """Format a line for each event."""
         return views.timeline(document)
--- a/alderreach/scripts/commands/config.py
+++ b/alderreach/scripts/commands/config.py
@@ -8,13 +8,13 @@
 
 
 class Show(base.ApiCommand):
-    """The configuration in force."""
+    """Show the configuration in force."""
 
     name = "config show"
     description = "Show the configuration items in force with their versions."
     options = [
         *base.API_OPTIONS,
-        option("prefix", None, "Only items whose key begins so.", flag=False),
+        option("prefix", None, "Only items whose key has this prefix.", flag=False),
     ]
 
     def call(self, client):
@@ -22,19 +22,19 @@
         return client.get("/v1/config", prefix=self.option("prefix"))
 
     def view(self, document):
-        """Each item in full."""
+        """Format each item in full."""
         return views.items(document)
 
 
 class Diff(base.ApiCommand):
-    """What a questionnaire would change."""
+    """Show what a questionnaire would change."""
 
     name = "config diff"
     description = "Show what a questionnaire would change, and change nothing."
     arguments = [questionnaire.FILE_ARGUMENT]
 
     def call(self, client):
-        """Plan against the configuration in force."""
+        """Compare the questionnaire with the configuration in force."""
         planned = questionnaire.plan_of_file(client, self.argument("file"))
         if isinstance(planned, Err):
             return planned
@@ -42,18 +42,20 @@
         return Ok({"difference": plan.lines, "writes": plan.writes})
 
     def view(self, document):
-        """The difference."""
+        """Format the difference."""
         return document["difference"] or ["no difference"]
 
 
 class History(base.ApiCommand):
-    """Who changed what."""
+    """Show the history of changes with their authors."""
 
     name = "config history"
     description = "Show the accepted changes, the newest first."
     options = [
         *base.API_OPTIONS,
-        option("limit", None, "The newest so many; 50 if left out.", flag=False),
+        option(
+            "limit", None, "How many of the newest changes; 50 if left out.", flag=False
+        ),
     ]
 
     def call(self, client):
@@ -61,5 +63,5 @@
         return client.get("/v1/config/history", limit=self.option("limit"))
 
     def view(self, document):
-        """A line for each change."""
+        """Format a line for each change."""
         return views.history(document)
--- a/alderreach/scripts/commands/explain.py
+++ b/alderreach/scripts/commands/explain.py
@@ -10,7 +10,7 @@
 
 
 class Explain(Command):
-    """The timeline of an id from log files, or from standard input."""
+    """Print the timeline of an id from log files or from standard input."""
 
     name = "explain"
     description = "Tell from log files what happened to a job, task or worker."
@@ -25,7 +25,7 @@
     ]
 
     def handle(self):
-        """Read the logs, print the timeline; exits 1 if they don't know the id."""
+        """Read the logs and print the timeline; exit code 1 if no line has the id."""
         lines = []
         for name in self.argument("files") or []:
             try:
--- a/alderreach/scripts/commands/job.py
+++ b/alderreach/scripts/commands/job.py
@@ -39,12 +39,12 @@
         return client.change("POST", "/v1/jobs", body, self.key())
 
     def view(self, document):
-        """The job's id."""
+        """Format the job's id."""
         return [f"{document['job_id']} accepted in {document['failure_domain']}"]
 
 
 class Show(base.ApiCommand):
-    """One job."""
+    """Show one job."""
 
     name = "job show"
     description = "Show a job, its state and its tasks."
@@ -55,12 +55,12 @@
         return client.get(api.path("v1", "jobs", self.argument("job")))
 
     def view(self, document):
-        """The job in full."""
+        """Format the job in full."""
         return views.job(document)
 
 
 class List(base.ApiCommand):
-    """All jobs."""
+    """List all jobs."""
 
     name = "job list"
     description = "List the jobs, the newest first."
@@ -69,7 +69,9 @@
         option("team", None, "Only of this team.", flag=False),
         option("state", None, "Only in this state, such as waiting.", flag=False),
         option("failure-domain", None, "Only of this failure domain.", flag=False),
-        option("limit", None, "The newest so many; 100 if left out.", flag=False),
+        option(
+            "limit", None, "How many of the newest jobs; 100 if left out.", flag=False
+        ),
     ]
 
     def call(self, client):
@@ -83,7 +85,7 @@
         )
 
     def view(self, document):
-        """A line for each job."""
+        """Format a line for each job."""
         return views.jobs(document)
 
 
@@ -101,5 +103,5 @@
         return client.change("DELETE", path, key=self.key())
 
     def view(self, document):
-        """One line."""
+        """Format one line."""
         return [f"{document['job_id']} is being cancelled"]
--- a/alderreach/scripts/commands/keeper.py
+++ b/alderreach/scripts/commands/keeper.py
@@ -10,7 +10,7 @@
 
 
 class List(base.ApiCommand):
-    """The membership in force."""
+    """Show the membership in force."""
 
     name = "keeper list"
     description = "List the keepers: voters and learners."
@@ -20,12 +20,12 @@
         return client.get("/v1/keepers")
 
     def view(self, document):
-        """A line for each keeper."""
+        """Format a line for each keeper."""
         return views.members(document)
 
 
 class Change(base.ApiCommand):
-    """One change of the membership; the commands below name the action."""
+    """A change of the membership; the subclasses define the action."""
 
     name = "keeper"
     action = ""
@@ -34,7 +34,7 @@
     options = [*base.API_OPTIONS, base.YES_OPTION]
 
     def call(self, client):
-        """Ask, then send the change."""
+        """Ask for confirmation and send the change."""
         identity = self.argument("identity")
         confirmed = self.confirm_change(self.question.format(identity))
         if isinstance(confirmed, Err):
@@ -43,16 +43,16 @@
         return client.change("POST", path, self.body())
 
     def body(self):
-        """What goes with the change."""
+        """Return the body of the request."""
         return {}
 
     def view(self, document):
-        """The membership after the change."""
+        """Format the membership after the change."""
         return views.members(document)
 
 
 class Add(Change):
-    """Add a keeper as learner."""
+    """Add a keeper as a learner."""
 
     name = "keeper add"
     action = "add_learner"
@@ -65,14 +65,14 @@
     ]
 
     def call(self, client):
-        """Check the options first."""
+        """Check the options, then send the change."""
         for name in ("name", "address"):
             if not self.option(name):
                 return api.fail(api.EXIT_BAD_INPUT, f"--{name} is required")
         return super().call(client)
 
     def body(self):
-        """Name and address."""
+        """Return the keeper's name and address."""
         return {"name": self.option("name"), "address": self.option("address")}
 
 
@@ -86,7 +86,7 @@
 
 
 class Remove(Change):
-    """Take a keeper out."""
+    """Remove a keeper from the membership."""
 
     name = "keeper remove"
     action = "remove"
--- a/alderreach/scripts/commands/maintenance.py
+++ b/alderreach/scripts/commands/maintenance.py
@@ -46,14 +46,14 @@
         return client.change("POST", "/v1/maintenance", body, self.key())
 
     def view(self, document):
-        """The window's id, and what can't be met."""
+        """Format the window's id and version, and any warnings."""
         window = document["window"]["window_id"]
         lines = [f"{window} accepted as version {document['version']}"]
         return lines + [f"warning: {text}" for text in document.get("warnings", [])]
 
 
 class List(base.ApiCommand):
-    """All maintenance windows."""
+    """List all maintenance windows."""
 
     name = "maintenance list"
     description = "List the maintenance windows, the earliest first."
@@ -63,12 +63,12 @@
         return client.get("/v1/maintenance")
 
     def view(self, document):
-        """A line for each window."""
+        """Format a line for each window."""
         return views.windows(document)
 
 
 class Cancel(base.ApiCommand):
-    """Withdraw a maintenance window."""
+    """Cancel a maintenance window."""
 
     name = "maintenance cancel"
     description = "Withdraw a maintenance window."
@@ -76,10 +76,10 @@
     options = [*base.API_OPTIONS, base.KEY_OPTION]
 
     def call(self, client):
-        """Send the withdrawal."""
+        """Send the cancellation."""
         path = api.path("v1", "maintenance", self.argument("window"))
         return client.change("DELETE", path, key=self.key())
 
     def view(self, document):
-        """One line."""
+        """Format one line."""
         return [f"cancelled in version {document['version']}"]
--- a/alderreach/scripts/commands/questionnaire.py
+++ b/alderreach/scripts/commands/questionnaire.py
@@ -15,7 +15,7 @@
 
 
 def load(path):
-    """Read a questionnaire: ``Ok(Answers)`` or a failure with every mistake."""
+    """Read a questionnaire: ``Ok(Answers)`` or a failure that lists every mistake."""
     try:
         text = pathlib.Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -42,7 +42,7 @@
     ]
 
     def handle(self):
-        """Write the file unless one is there; returns the exit code."""
+        """Write the file unless it exists, and return the exit code."""
         result = self._write(pathlib.Path(self.argument("file")), self.option("team"))
         if isinstance(result, Err):
             return base.show_failure(self, result.err_value)
@@ -73,7 +73,7 @@
     options = [base.JSON_OPTION]
 
     def handle(self):
-        """Check the file; returns the exit code."""
+        """Check the file and return the exit code."""
         answers = load(self.argument("file"))
         if isinstance(answers, Err):
             return base.show_failure(self, answers.err_value)
@@ -84,7 +84,7 @@
 
 
 class Apply(base.ApiCommand):
-    """Bring a questionnaire into force."""
+    """Apply a questionnaire to the configuration."""
 
     name = "questionnaire apply"
     description = "Show what a questionnaire changes and commit it."
@@ -92,7 +92,7 @@
     options = [*base.API_OPTIONS, base.YES_OPTION, base.KEY_OPTION]
 
     def call(self, client):
-        """Plan against the configuration in force, ask, and commit."""
+        """Show the difference, ask for confirmation and commit."""
         planned = plan_of_file(client, self.argument("file"))
         if isinstance(planned, Err):
             return planned
@@ -112,14 +112,14 @@
         return Ok(done.ok_value | {"difference": plan.lines})
 
     def view(self, document):
-        """One line: what came of it."""
+        """Format the result as one line."""
         if document["result"] == "unchanged":
             return ["nothing to change: the configuration in force is the same"]
         return [f"accepted as version {document['version']}"]
 
 
 def plan_of_file(client, path):
-    """What applying a file would change: ``Ok(plans.Plan)`` or a failure."""
+    """Plan the changes of applying a file: ``Ok(plans.Plan)`` or a failure."""
     answers = load(path)
     if isinstance(answers, Err):
         return answers
--- a/alderreach/scripts/commands/target.py
+++ b/alderreach/scripts/commands/target.py
@@ -8,7 +8,7 @@
 
 
 class List(base.ApiCommand):
-    """All targets."""
+    """List all targets."""
 
     name = "target list"
     description = "List workers and runners as their owners see them."
@@ -27,7 +27,7 @@
         )
 
     def view(self, document):
-        """A line for each target."""
+        """Format a line for each target."""
         return views.targets(document)
 
 
@@ -40,7 +40,10 @@
     options = [*base.API_OPTIONS, base.YES_OPTION, base.KEY_OPTION]
 
     def call(self, client):
-        """Ask, since a VM that still runs would run its tasks twice; then send it."""
+        """Ask for confirmation and send the declaration.
+
+        If the VM still ran, its tasks would run twice.
+        """
         target = self.argument("target")
         question = f"Is the VM of {target} surely stopped for good?"
         confirmed = self.confirm_change(question)
@@ -50,5 +53,5 @@
         return client.change("POST", path, key=self.key())
 
     def view(self, document):
-        """One line."""
+        """Format one line."""
         return [f"accepted as version {document['version']}"]
--- a/alderreach/scripts/commands/team.py
+++ b/alderreach/scripts/commands/team.py
@@ -1,4 +1,4 @@
-"""``alderreach team list|show`` and ``alderreach workload list|show``."""
+"""``alderreach team list|show|remove`` and ``alderreach workload list|show``."""
 
 from cleo.helpers import argument, option
 from result import Err, Ok
@@ -9,7 +9,7 @@
 
 
 def select_item(result, key, what):
-    """The document with just the item ``key``, or a failure if it isn't there."""
+    """Return the document with only the item ``key``, or a failure if it has none."""
     if isinstance(result, Err):
         return result
     document = result.ok_value
@@ -20,7 +20,7 @@
 
 
 class TeamList(base.ApiCommand):
-    """All teams."""
+    """List all teams."""
 
     name = "team list"
     description = "List the teams."
@@ -30,12 +30,12 @@
         return client.get("/v1/config", prefix="team/")
 
     def view(self, document):
-        """A line for each team."""
+        """Format a line for each team."""
         return views.teams(document)
 
 
 class TeamShow(base.ApiCommand):
-    """One team."""
+    """Show one team."""
 
     name = "team show"
     description = "Show a team in full."
@@ -48,12 +48,12 @@
         return select_item(client.get("/v1/config", prefix=key), key, f"team {name!r}")
 
     def view(self, document):
-        """The item in full."""
+        """Format the item in full."""
         return views.items(document)
 
 
 class TeamRemove(base.ApiCommand):
-    """Take a team out with all its workloads."""
+    """Remove a team and all its workloads."""
 
     name = "team remove"
     description = "Remove a team and all its workloads; its services stop."
@@ -61,7 +61,7 @@
     options = [*base.API_OPTIONS, base.YES_OPTION, base.KEY_OPTION]
 
     def call(self, client):
-        """Show what goes, ask, and commit it together."""
+        """Show the items, ask for confirmation and delete them in one change."""
         name = self.argument("team")
         document = client.get("/v1/config")
         if isinstance(document, Err):
@@ -79,12 +79,12 @@
         return client.change("PUT", "/v1/config", body, self.key())
 
     def view(self, document):
-        """One line."""
+        """Format one line."""
         return [f"accepted as version {document['version']}"]
 
 
 class WorkloadList(base.ApiCommand):
-    """All workloads."""
+    """List all workloads."""
 
     name = "workload list"
     description = "List the workloads of all teams or of one."
@@ -100,12 +100,12 @@
         return client.get("/v1/config", prefix=prefix)
 
     def view(self, document):
-        """A line for each workload."""
+        """Format a line for each workload."""
         return views.workloads(document)
 
 
 class WorkloadShow(base.ApiCommand):
-    """One workload."""
+    """Show one workload."""
 
     name = "workload show"
     description = "Show a workload in full."
@@ -122,5 +122,5 @@
         return select_item(client.get("/v1/config", prefix=key), key, what)
 
     def view(self, document):
-        """The item in full."""
+        """Format the item in full."""
         return views.items(document)
