--- a/alderreach/ops/client/api.py
+++ b/alderreach/ops/client/api.py
@@ -1,9 +1,9 @@
-"""Calls to the operators' HTTP of one or several entries.
+"""Calls to the operators' HTTP API of one or several entries.
 
-An entry that can't be reached, that drains or that has no quorum is passed over for
-the next one, with the same idempotency key, so that a change is made once however often
-it is sent. What is told at the end is exact: if an attempt may have been taken and no
-later one told how it ended, the failure says so and names the key to ask again with.
+If an entry can't be reached, drains or has no quorum, the request goes to the next one
+with the same idempotency key, so a change is made only once however often it is sent.
+If an attempt may have been accepted and no later one returned its outcome, the failure
+says so and gives the key to retry with.
 """
 
 import json
@@ -18,7 +18,7 @@
 
 from alderreach.utils import clocks
 
-ENTRY = re.compile(r"([^\s/:]+|\[[0-9a-fA-F:]+\]):[0-9]{1,5}")
+ENTRY_PATTERN = re.compile(r"([^\s/:]+|\[[0-9a-fA-F:]+\]):[0-9]{1,5}")
 ROUNDS = 3
 ROUND_PAUSE_S = 0.5
 CONNECT_TIMEOUT_S = 2
@@ -27,13 +27,13 @@
 EXIT_REFUSED = 1
 EXIT_BAD_INPUT = 2
 EXIT_UNREACHABLE = 3
-# Another entry, or the same one a little later, may well answer these otherwise.
-ELSEWHERE = ("no_quorum", "draining", "write_unconfirmed", "overloaded", "internal")
-# Of these, the attempt may have been taken all the same.
-UNSURE = ("write_unconfirmed", "internal")
-# Not elsewhere either, but it may be reached later.
-UNREACHABLE = ("no_owner",)
-BAD_INPUT = (
+# Errors that another entry, or the same one later, may not return: retried.
+RETRIED_KINDS = ("no_quorum", "draining", "write_unconfirmed", "overloaded", "internal")
+# Of these, errors after which the request may still have been accepted.
+UNCERTAIN_KINDS = ("write_unconfirmed", "internal")
+# Errors that every entry returns for now; a later call may succeed.
+UNREACHABLE_KINDS = ("no_owner",)
+BAD_INPUT_KINDS = (
     "malformed_request",
     "invalid_configuration",
     "impossible_job",
@@ -48,7 +48,7 @@
 
 
 class Failure(typing.NamedTuple):
-    """Why a command failed: exit code, text for people, problem document if any."""
+    """Why a command failed: exit code, message and problem document."""
 
     exit_code: int
     message: str
@@ -56,20 +56,20 @@
 
 
 class Attempt(typing.NamedTuple):
-    """How one attempt at one entry went; ``maybe_taken`` if it may have had effect."""
+    """The result of one attempt; ``may_have_acted`` if it may have had an effect."""
 
     status: int
     document: dict
-    maybe_taken: bool
+    may_have_acted: bool
 
 
 def fail(exit_code, message):
-    """An ``Err`` without a problem document."""
+    """Return an ``Err`` whose document holds only the message."""
     return Err(Failure(exit_code, message, {"detail": message}))
 
 
 class Client:
-    """A caller of several entries; it stays with the one that answered last."""
+    """A client of several entries that prefers the one that answered last."""
 
     def __init__(
         self, entries, token, http=None, clock=clocks.SYSTEM, sleep=time.sleep
@@ -82,12 +82,12 @@
         self._sleep = sleep
 
     def get(self, path, **query):
-        """Read: ``Ok(document)`` or ``Err(Failure)``; empty values are left out."""
+        """Read: ``Ok(document)`` or ``Err(Failure)``; empty values are omitted."""
         fields = {name: str(value) for name, value in query.items() if value}
         return self._call("GET", path, fields, None, "")
 
     def change(self, method, path, body=None, key=""):
-        """Change something once: ``Ok(document)`` or ``Err(Failure)``."""
+        """Make a change at most once: ``Ok(document)`` or ``Err(Failure)``."""
         return self._call(method, path, {}, body, key or make_key(self._wall_ms()))
 
     def _call(self, method, path, fields, body, key):
@@ -95,22 +95,22 @@
         if key:
             headers["Idempotency-Key"] = key
             headers["Alderreach-Asked-Wall-Ms"] = str(asked_wall_ms(key))
-        maybe_taken, last = False, None
-        for entry in self._order():
+        may_have_acted, last = False, None
+        for entry in self._attempt_order():
             last = self._attempt(entry, method, path, fields, headers, body)
-            if last.status and last.document.get("kind") not in ELSEWHERE:
-                self._stay_with(entry)
+            if last.status and last.document.get("kind") not in RETRIED_KINDS:
+                self._prefer(entry)
                 return _result(last)
-            maybe_taken = maybe_taken or last.maybe_taken
-        return _give_up(last, self._entries, key if maybe_taken else "")
+            may_have_acted = may_have_acted or last.may_have_acted
+        return _give_up(last, self._entries, key if may_have_acted else "")
 
-    def _order(self):
+    def _attempt_order(self):
         for number in range(ROUNDS):
             if number:
                 self._sleep(ROUND_PAUSE_S)
             yield from list(self._entries)
 
-    def _stay_with(self, entry):
+    def _prefer(self, entry):
         self._entries.remove(entry)
         self._entries.insert(0, entry)
 
@@ -128,12 +128,12 @@
             return Attempt(0, {"detail": f"{entry}: {error}"}, False)
         except (urllib3.exceptions.HTTPError, ValueError) as error:
             return Attempt(0, {"detail": f"{entry}: {error}"}, True)
-        unsure = document.get("kind") in UNSURE
-        return Attempt(answer.status, document, unsure)
+        is_uncertain = document.get("kind") in UNCERTAIN_KINDS
+        return Attempt(answer.status, document, is_uncertain)
 
 
 def path(*parts):
-    """The path of a resource, each part quoted whatever people typed.
+    """Return the path of a resource with each part URL-quoted.
 
     >>> path("v1", "jobs", "a/b")
     '/v1/jobs/a%2Fb'
@@ -142,9 +142,9 @@
 
 
 def make_key(wall_ms):
-    """A fresh idempotency key that tells when it was made.
+    """Return a new idempotency key that contains the time it was made.
 
-    The time is part of the change, so a resend must carry the first attempt's.
+    The time is part of the change, so a retry must send that of the first attempt.
 
     >>> asked_wall_ms(make_key(1764700000000))
     1764700000000
@@ -153,13 +153,13 @@
 
 
 def asked_wall_ms(key):
-    """When a key was made; 0 for a key from elsewhere."""
+    """Return the time a key was made; 0 for a key that holds none."""
     text = key.partition("-")[0]
     return int(text) if text.isdecimal() and len(text) < WALL_MS_DIGITS else 0
 
 
 def url(entry, path, fields):
-    """The URL of a path at an entry."""
+    """Return the URL of a path at an entry."""
     query = urllib.parse.urlencode(fields) if fields else ""
     return f"http://{entry}{path}" + (f"?{query}" if query else "")
 
@@ -173,13 +173,13 @@
 
 def _exit_code(document):
     kind = document.get("kind")
-    if kind in UNREACHABLE:
+    if kind in UNREACHABLE_KINDS:
         return EXIT_UNREACHABLE
-    return EXIT_BAD_INPUT if kind in BAD_INPUT else EXIT_REFUSED
+    return EXIT_BAD_INPUT if kind in BAD_INPUT_KINDS else EXIT_REFUSED
 
 
 def describe(document):
-    """A problem document for people: its title, then each mistake or the detail."""
+    """Format a problem document: its title, then each mistake or the detail."""
     lines = [document.get("title", "The entry refused")]
     if document.get("mistakes"):
         for mistake in document["mistakes"]:
--- a/alderreach/ops/client/moments.py
+++ b/alderreach/ops/client/moments.py
@@ -1,4 +1,4 @@
-"""Dates that people write, as Unix time."""
+"""Conversion of dates in command-line options to Unix time."""
 
 import datetime
 
@@ -10,17 +10,17 @@
 
 
 def parse(text, name):
-    """A date and time with its zone as Unix milliseconds, or a failure.
+    """Parse a date and time with its zone as Unix milliseconds, or return a failure.
 
     >>> parse("1970-01-01T00:01Z", "--start").ok_value
     60000
     """
     try:
-        moment = datetime.datetime.fromisoformat(text)
+        parsed = datetime.datetime.fromisoformat(text)
     except ValueError:
         message = f"{name} {text!r} is no date and time such as {EXAMPLE}"
         return api.fail(api.EXIT_BAD_INPUT, message)
-    if moment.tzinfo is None:
+    if parsed.tzinfo is None:
         message = f"{name} {text!r} needs a time zone, such as Z in {EXAMPLE}"
         return api.fail(api.EXIT_BAD_INPUT, message)
-    return Ok(round(moment.timestamp() * 1000))
+    return Ok(round(parsed.timestamp() * 1000))
--- a/alderreach/ops/client/views.py
+++ b/alderreach/ops/client/views.py
@@ -1,14 +1,15 @@
-"""Documents of the operators' HTTP as lines for people."""
+"""Formatting of the documents of the operators' HTTP API as lines of text."""
 
 import datetime
 
 EMPTY = "none"
-# A keeper tells the version of each follower; the followers' own rows show it already.
+# A keeper's detail has each follower's version under this prefix. It is omitted, since
+# the followers' own rows show it.
 FOLLOWER_VERSIONS = "version."
 
 
 def table(headers, rows):
-    """Columns padded to their widest cell.
+    """Format rows as columns, each padded to its widest cell.
 
     >>> table(("name", "tasks"), [("a", 3)])
     ['name  tasks', 'a     3']
@@ -23,20 +24,20 @@
 
 
 def rows_or_none(headers, rows):
-    """A table, or one word where there are no rows."""
+    """Format a table, or ``EMPTY`` if there are no rows."""
     return table(headers, rows) if rows else [EMPTY]
 
 
-def moment(wall_ms):
-    """A Unix time in milliseconds as UTC; a dash where it is unknown."""
+def format_time(wall_ms):
+    """Format a Unix time in milliseconds as UTC; a dash if it is unknown."""
     if not wall_ms:
         return "-"
-    moment_utc = datetime.datetime.fromtimestamp(wall_ms / 1000, datetime.UTC)
-    return moment_utc.strftime("%Y-%m-%dT%H:%M:%SZ")
+    time_utc = datetime.datetime.fromtimestamp(wall_ms / 1000, datetime.UTC)
+    return time_utc.strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
 def teams(document):
-    """All teams, a line each."""
+    """Format all teams, a line each."""
     rows = []
     for item in document["items"]:
         team, quota = item["value"], item["value"]["quota"]
@@ -56,7 +57,7 @@
 
 
 def workloads(document):
-    """All workloads, a line each."""
+    """Format all workloads, a line each."""
     rows = []
     for item in document["items"]:
         workload, task = item["value"], item["value"]["task"]
@@ -78,42 +79,42 @@
 
 
 def processors(resources):
-    """Processors of resources, without trailing zeros."""
+    """Format the processors of resources, without trailing zeros."""
     return f"{resources['cpu_millis'] / 1000:g}"
 
 
 def gigabytes(resources):
-    """Memory of resources in GiB, without trailing zeros."""
+    """Format the memory of resources in GiB, without trailing zeros."""
     return f"{resources['memory_mb'] / 1024:g}"
 
 
 def items(document):
-    """Configuration items in full: key, version and each field."""
+    """Format configuration items in full: key, version and each field."""
     lines = [f"version {document['version']}"]
     if not document["current"]:
         lines.append(NOT_CURRENT)
     for item in document["items"]:
         lines.append(f"{item['key']} (version {item['version']})")
-        lines += [f"    {name}: {value}" for name, value in flat(item["value"])]
+        lines += [f"    {name}: {value}" for name, value in flatten(item["value"])]
     return lines
 
 
 NOT_CURRENT = "the quorum can't be reached; this is the entry's last copy"
 
 
-def flat(value, prefix=""):
-    """The fields of an object with dotted names for inner objects."""
+def flatten(value, prefix=""):
+    """Yield the fields of an object, with dotted names for nested objects."""
     for name, entry in value.items():
         if isinstance(entry, dict):
-            yield from flat(entry, f"{prefix}{name}.")
+            yield from flatten(entry, f"{prefix}{name}.")
         else:
             yield f"{prefix}{name}", entry
 
 
 def history(document):
-    """Accepted changes, the newest first."""
+    """Format accepted changes, newest first."""
     rows = [
-        (change["version"], moment(change["wall_ms"]), change["author"])
+        (change["version"], format_time(change["wall_ms"]), change["author"])
         + (change["summary"],)
         for change in document["changes"]
     ]
@@ -121,13 +122,13 @@
 
 
 def windows(document):
-    """Maintenance windows, the earliest first."""
+    """Format maintenance windows, earliest first."""
     rows = [
         (
             window["window_id"],
             window["failure_domain"],
-            moment(window["start_wall_ms"]),
-            moment(window["end_wall_ms"]),
+            format_time(window["start_wall_ms"]),
+            format_time(window["end_wall_ms"]),
             " ".join([*window["vms"], *(f"rack:{r}" for r in window["racks"])]),
         )
         for window in document["windows"]
@@ -136,7 +137,7 @@
 
 
 def jobs(document):
-    """Jobs, the newest first."""
+    """Format jobs, newest first."""
     rows = [
         (
             job["job_id"],
@@ -145,18 +146,18 @@
             job["kind"],
             job["state"],
             f"{job['running']}/{job['finished']}/{job['failed']}/{job['tasks']}",
-            moment(job["submitted_wall_ms"]),
+            format_time(job["submitted_wall_ms"]),
             job["reason"],
         )
         for job in document["jobs"]
     ]
     headers = ("job", "team", "workload", "kind", "state")
     headers += ("run/done/failed/all", "submitted", "reason")
-    return rows_or_none(headers, rows) + _silent(document, "failure domains")
+    return rows_or_none(headers, rows) + _unreachable_lines(document, "failure domains")
 
 
 def job(document):
-    """One job in full."""
+    """Format one job in full."""
     lines = [f"{name}: {value}" for name, value in document.items() if name != "tasks"]
     views = document["tasks"]
     rows = [(v["task_id"], v["attempt"], v["state"], v["worker_id"]) for v in views]
@@ -166,7 +167,7 @@
 
 
 def targets(document):
-    """Targets, a line each."""
+    """Format targets, a line each."""
     rows = []
     for target in document["targets"]:
         reserved, capacity = target["reserved"], target["capacity"]
@@ -189,11 +190,11 @@
         )
     headers = ("target", "kind", "failure domain", "rack", "vm", "state")
     headers += ("processors", "memory GiB", "tasks", "note")
-    return rows_or_none(headers, rows) + _silent(document, "failure domains")
+    return rows_or_none(headers, rows) + _unreachable_lines(document, "failure domains")
 
 
 def members(document):
-    """The keepers' membership, a line each."""
+    """Format the keepers' membership, a line each."""
     rows = []
     for member in document["members"]:
         part = "voter" if member["voter"] else "learner"
@@ -204,7 +205,7 @@
 
 
 def status(document):
-    """The cell and each of its processes."""
+    """Format the state of the cell and of each process."""
     lines = [f"version {document['version']}"]
     lines.append("quorum: " + ("yes" if document["quorum"] else "no leader answered"))
     rows = []
@@ -227,11 +228,11 @@
             )
         )
     headers = ("process", "failure domain", "state", "version", "", "detail")
-    return lines + table(headers, rows) + _silent(document, "processes")
+    return lines + table(headers, rows) + _unreachable_lines(document, "processes")
 
 
 def timeline(document):
-    """Events, a line each, oldest first."""
+    """Format events, a line each, oldest first."""
     lines = []
     for event in document["events"]:
         ids = " ".join(
@@ -239,13 +240,13 @@
             for name, field in EVENT_IDS
             if event[field] not in ("", 0)
         )
-        moment_utc = datetime.datetime.fromtimestamp(
+        time_utc = datetime.datetime.fromtimestamp(
             event["wall_ms"] / 1000, datetime.UTC
         )
-        text = moment_utc.strftime("%H:%M:%S.") + f"{event['wall_ms'] % 1000:03}"
+        text = time_utc.strftime("%H:%M:%S.") + f"{event['wall_ms'] % 1000:03}"
         parts = (text, event["process"], event["kind"], ids, event["detail"])
         lines.append("  ".join(part for part in parts if part))
-    return (lines or [EMPTY]) + _silent(document, "processes")
+    return (lines or [EMPTY]) + _unreachable_lines(document, "processes")
 
 
 EVENT_IDS = (
@@ -258,6 +259,6 @@
 )
 
 
-def _silent(document, what):
+def _unreachable_lines(document, what):
     names = document.get("unreachable", [])
     return [f"no answer from {what}: {', '.join(names)}"] if names else []
--- a/alderreach/parser/difference.py
+++ b/alderreach/parser/difference.py
@@ -1,4 +1,4 @@
-"""The difference between two sets of configuration items, for people.
+"""The difference between two sets of configuration items, for display.
 
 >>> show(difference({}, {"team/kai-tahi": team}))  # doctest: +SKIP
 ['+ team/kai-tahi', '    objective: packing', ...]
@@ -10,7 +10,7 @@
 
 
 class Difference(typing.NamedTuple):
-    """One item that differs; ``fields`` holds each (dotted field, old, new)."""
+    """One item that differs; ``fields`` holds (dotted field, old, new) tuples."""
 
     sign: str
     key: str
@@ -18,14 +18,14 @@
 
 
 def difference(old, new):
-    """Compare two dictionaries of records by key; in order of key.
+    """Compare two dictionaries of records by key; return the differences sorted by key.
 
     The sign is ``+`` for a new item, ``-`` for a deleted one and ``~`` for a changed
-    one; a changed one lists only the fields that changed.
+    one. A changed item lists only the fields that changed.
     """
     found = []
     for key in sorted(old.keys() | new.keys()):
-        before, after = _flat(old.get(key)), _flat(new.get(key))
+        before, after = _flatten(old.get(key)), _flatten(new.get(key))
         if before == after:
             continue
         sign = "+" if key not in old else "-" if key not in new else "~"
@@ -40,7 +40,7 @@
 
 
 def show(differences):
-    """Lines for people."""
+    """Format differences as lines of text."""
     lines = []
     for entry in differences:
         lines.append(f"{entry.sign} {entry.key}")
@@ -52,15 +52,15 @@
     return lines
 
 
-def _flat(record, prefix=""):
-    """The fields of a record by dotted name; its own name is in the key already."""
+def _flatten(record, prefix=""):
+    """Return the fields of a record by dotted name."""
     if record is None:
         return {}
     flat = {}
     for name in record._fields:
         value = getattr(record, name)
         if hasattr(value, "_fields"):
-            flat |= _flat(value, f"{prefix}{name}.")
+            flat |= _flatten(value, f"{prefix}{name}.")
         else:
             flat[f"{prefix}{name}"] = plain_objects.to_object(value)
     return flat
--- a/alderreach/platform/wire.py
+++ b/alderreach/platform/wire.py
@@ -1,8 +1,9 @@
-"""Bodies of the platform's protocol, decoded once into the types of this project.
+"""Conversion between the platform's message bodies and the types of this project.
 
-The structures below bear the platform's field names; nothing outside this folder sees
-them. Where such a name misleads, a comment says what the field holds. Absent fields are
-empty, as the platform leaves out what is 0, false or empty; unknown ones are ignored.
+The structures below have the platform's field names and are used in this package only.
+Where such a name misleads, a comment says what the field holds. The platform omits
+fields that are 0, false or empty, so absent fields get these values. Unknown fields are
+ignored.
 """
 
 import msgspec
@@ -23,12 +24,12 @@
     same_rack: bool = False
     requirements: str = ""  # one label, not several
     data_rack: str = ""
-    anti_affinity: int = 0  # the most tasks of the step on one worker
+    anti_affinity: int = 0  # maximum of the step's tasks on one worker
     allow_duplicates: bool = False
     long_running: bool = False
     image: str = ""
-    target_ms: float = 0  # serving tasks: the tail latency to stay below
-    fills: bool = False  # best effort: its processor time is not set aside
+    target_ms: float = 0  # serving tasks: upper bound of the tail latency
+    fills: bool = False  # best effort: no processor time is reserved for it
     max_unavailable: int = 0
 
 
@@ -55,7 +56,7 @@
     labels: list[str]
     sequence: int
     clock_ms: float = -1
-    born: int = 0  # Unix time of the start of this life
+    born: int = 0  # Unix time of the start of this incarnation
     machine: str = ""
 
 
@@ -90,7 +91,7 @@
     services: list[_Service]
 
 
-class _Answer(msgspec.Struct):
+class _WorkerAnswer(msgspec.Struct):
     clock_ms: float | None = None
     reason: str = ""
     born: int = 0
@@ -98,7 +99,7 @@
     ended: list[list] = []
 
 
-class _Advised(msgspec.Struct):
+class _AdviseAnswer(msgspec.Struct):
     good: list[tuple[str, str]] = []
 
 
@@ -106,25 +107,25 @@
 _decode_job = msgspec.json.Decoder(_Job).decode
 _decode_announcement = msgspec.json.Decoder(_Announcement).decode
 _decode_config = msgspec.json.Decoder(_Config).decode
-_decode_answer = msgspec.json.Decoder(_Answer).decode
-_decode_advised = msgspec.json.Decoder(_Advised).decode
+_decode_worker_answer = msgspec.json.Decoder(_WorkerAnswer).decode
+_decode_advise_answer = msgspec.json.Decoder(_AdviseAnswer).decode
 encode = msgspec.json.Encoder().encode
 
 
-class Malformed(ValueError):
-    """A body that is not what the protocol says; the text tells why."""
+class MalformedError(ValueError):
+    """A body that violates the protocol; the message says how."""
 
 
-def _decoded(decode, body):
+def _decode(decode, body):
     try:
         return decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise Malformed(str(error)) from error
+        raise MalformedError(str(error)) from error
 
 
 def submission(host, path, body):
-    """A job's body as a ``cell.SubmitJob``; raises ``Malformed``."""
-    job = _decoded(_decode_job, body)
+    """Convert a job's body to a ``cell.SubmitJob``; raises ``MalformedError``."""
+    job = _decode(_decode_job, body)
     steps = [
         cell.Step(
             step.count,
@@ -158,53 +159,57 @@
 
 
 def announcement(target_id, body):
-    """A worker's heartbeat as a ``cell.AnnounceTarget``; raises ``Malformed``."""
-    said = _decoded(_decode_announcement, body)
-    if said.state not in STATES:
-        raise Malformed(f"no such state: {said.state}")
+    """Convert a heartbeat to a ``cell.AnnounceTarget``; raises ``MalformedError``."""
+    decoded = _decode(_decode_announcement, body)
+    if decoded.state not in STATES:
+        raise MalformedError(f"no such state: {decoded.state}")
     record = cell.TargetRecord(
         target_id,
-        said.born,
-        said.service,
-        said.address,
-        said.zone,
+        decoded.born,
+        decoded.service,
+        decoded.address,
+        decoded.zone,
         common.Resources(
-            int(said.capacity.cpu), int(said.capacity.mem_mb), int(said.capacity.gpu)
+            int(decoded.capacity.cpu),
+            int(decoded.capacity.mem_mb),
+            int(decoded.capacity.gpu),
         ),
-        said.labels,
-        said.state,
-        said.machine,
+        decoded.labels,
+        decoded.state,
+        decoded.machine,
     )
-    return cell.AnnounceTarget(record, said.sequence, int(said.clock_ms))
+    return cell.AnnounceTarget(record, decoded.sequence, int(decoded.clock_ms))
 
 
 def configuration(body):
-    """A configuration's body as a ``cell.CellConfig``; raises ``Malformed``.
+    """Convert a configuration's body to a ``cell.CellConfig``.
 
-    Invalid beyond its form is a route to an unknown service, two routes at one place,
-    and a timeout of nothing.
+    Raises ``MalformedError``, also for a route to an unknown service, for two routes
+    with the same host and path prefix and for a timeout that is not positive.
     """
-    said = _decoded(_decode_config, body)
-    names = {service.name for service in said.services}
-    places = set()
-    for route in said.routes:
+    decoded = _decode(_decode_config, body)
+    names = {service.name for service in decoded.services}
+    locations = set()
+    for route in decoded.routes:
         if route.service not in names:
-            raise Malformed(f"route {route.name} names unknown service {route.service}")
+            raise MalformedError(
+                f"route {route.name} names unknown service {route.service}"
+            )
         if route.timeout_ms <= 0:
-            raise Malformed(f"route {route.name} has no timeout")
-        place = (route.host, route.path_prefix)
-        if place in places:
-            raise Malformed(f"two routes at {route.host}{route.path_prefix}")
-        places.add(place)
-    queues = [_queue(route) for route in said.routes]
+            raise MalformedError(f"route {route.name} has no timeout")
+        location = (route.host, route.path_prefix)
+        if location in locations:
+            raise MalformedError(f"two routes at {route.host}{route.path_prefix}")
+        locations.add(location)
+    queues = [_queue_config(route) for route in decoded.routes]
     services = [
         cell.ServiceConfig(service.name, service.enforces_capacity, service.standby)
-        for service in said.services
+        for service in decoded.services
     ]
-    return cell.CellConfig(said.version, queues, services, body)
+    return cell.CellConfig(decoded.version, queues, services, body)
 
 
-def _queue(route):
+def _queue_config(route):
     rule = None
     if route.advice is not None:
         rule = cell.PermissionRule(
@@ -227,7 +232,7 @@
 
 
 def start_body(order):
-    """The body of an order to start a run."""
+    """Encode the body of an order to start a run."""
     body = {
         "task": order.task,
         "run": order.run,
@@ -243,12 +248,12 @@
 
 
 def stop_body(order):
-    """The body of an order to stop a run."""
+    """Encode the body of an order to stop a run."""
     return encode({"task": order.task, "run": order.run, "fencing_token": order.epoch})
 
 
 def pace_body(order):
-    """The body of an order to pace a run."""
+    """Encode the body of an order to pace a run."""
     return encode(
         {
             "task": order.task,
@@ -260,7 +265,7 @@
 
 
 def poll_body(poll):
-    """The body of a poll."""
+    """Encode the body of a poll."""
     body = {
         "fencing_token": poll.epoch,
         "ack_cursor": poll.cursor,
@@ -272,24 +277,25 @@
 
 
 def advise_body(step, targets):
-    """The body of a question to the permission service."""
+    """Encode the body of a query to the permission service."""
     return encode({"step": step, "workers": targets})
 
 
 def tickets(body):
-    """The permission service's answer as a list of ``cell.Ticket``."""
-    return [cell.Ticket(*row) for row in _decoded(_decode_advised, body).good]
+    """Convert the permission service's answer to a list of ``cell.Ticket``."""
+    return [cell.Ticket(*row) for row in _decode(_decode_advise_answer, body).good]
 
 
-# What a worker's refusal means here.
-REASONS = {
+# Outcomes of an order by the reason of a worker's 409 answer.
+OUTCOME_BY_REASON = {
     "fence": orders.FENCED,
     "old": orders.STALE_RUN,
     "late": orders.LEASE_EXPIRED,
     "room": orders.NO_CAPACITY,
     "ticket": orders.NO_TICKET,
 }
-STATUSES = {
+# Outcomes of an order by the HTTP status of the other answers.
+OUTCOME_BY_STATUS = {
     200: orders.OK,
     400: orders.REFUSED,
     421: orders.OTHER_INCARNATION,
@@ -299,29 +305,33 @@
 
 
 def order_result(status, body):
-    """A worker's answer to an order."""
-    said = _decoded(_decode_answer, body) if body else _Answer()
-    outcome = STATUSES.get(status, orders.UNKNOWN)
+    """Convert a worker's answer to an order to an ``orders.OrderResult``."""
+    decoded = _decode(_decode_worker_answer, body) if body else _WorkerAnswer()
+    outcome = OUTCOME_BY_STATUS.get(status, orders.UNKNOWN)
     if status == 409:
-        outcome = REASONS.get(said.reason, orders.UNKNOWN)
-    return orders.OrderResult(outcome, _clock(said), f"{status} {said.reason}")
+        outcome = OUTCOME_BY_REASON.get(decoded.reason, orders.UNKNOWN)
+    return orders.OrderResult(outcome, _clock_ms(decoded), f"{status} {decoded.reason}")
 
 
 def poll_result(status, body):
-    """A worker's answer to a poll."""
+    """Convert a worker's answer to a poll to an ``orders.PollResult``."""
     if status != 200:
         result = order_result(status, body)
         return orders.PollResult(result.outcome, result.clock_ms, detail=result.detail)
-    said = _decoded(_decode_answer, body)
+    decoded = _decode(_decode_worker_answer, body)
     try:
-        running = [_listed_run(row) for row in said.running]
+        running = [_listed_run(row) for row in decoded.running]
         ended = [
             orders.ListedEnd(int(row[0]), row[1], int(row[2]), row[3], row[4] or "")
-            for row in said.ended
+            for row in decoded.ended
         ]
     except (IndexError, TypeError, ValueError) as error:
-        raise Malformed(f"a row of a worker's lists: {error}") from error
-    return orders.PollResult(orders.OK, _clock(said), said.born, running, ended)
+        raise MalformedError(
+            f"malformed row in a worker's list of runs: {error}"
+        ) from error
+    return orders.PollResult(
+        orders.OK, _clock_ms(decoded), decoded.born, running, ended
+    )
 
 
 def _listed_run(row):
@@ -329,5 +339,5 @@
     return orders.ListedRun(row[0], int(row[1]), row[2] or "", int(row[3]), float(load))
 
 
-def _clock(said):
-    return None if said.clock_ms is None else int(said.clock_ms)
+def _clock_ms(decoded):
+    return None if decoded.clock_ms is None else int(decoded.clock_ms)
