--- a/alderreach/ops/controller/director.py
+++ b/alderreach/ops/controller/director.py
@@ -162,7 +162,7 @@
         else:
             term.pending_effects[index] = effects
 
-    def applied(self, index, term):
+    def on_applied(self, index, term):
         """Run the effects that waited for the entry at ``index`` to be committed."""
         current = self._term
         if current is None or term != current.leader.epoch:
@@ -196,7 +196,7 @@
 
     def _is_caught_up_leader(self):
         """Whether it leads and has applied all entries committed by earlier leaders."""
-        node, state = self._port.node, self._port.state_of()
+        node, state = self._port.node, self._port.get_state()
         return (
             node.role == raft.LEADER
             and node.is_ready_leader
@@ -210,7 +210,7 @@
             metrics=self._context.metrics,
             record=self._record,
             confirm=self._port.confirm,
-            committed=lambda: self._port.state_of().cell,
+            committed=lambda: self._port.get_state().cell,
             cell_offset_ms=self._cell_offset_ms,
             is_time_known=self._make_time_check(),
             helpers=self._helpers,
--- a/alderreach/ops/controller/service.py
+++ b/alderreach/ops/controller/service.py
@@ -66,8 +66,8 @@
         keeper_service.open_folder(context),
         keeper_service.system_hooks(),
         extend,
-        open_cell=others,
-        may_found=found.found == "yes" and own in seeds,
+        seed_addresses=others,
+        may_found_cell=found.found == "yes" and own in seeds,
     ).start()
     outside.serve_control(context, directors[0].leader_calls)
     return controller
--- a/alderreach/ops/keeper/extension.py
+++ b/alderreach/ops/keeper/extension.py
@@ -8,7 +8,7 @@
 - ``deliver(received)``: take a peer's message that is not the keeper's.
 - ``tick(now_ms)``: let time pass.
 - ``before_write(now_ms)``: propose what was decided since the last call.
-- ``applied(index, term)``: the entry at ``index`` is committed and applied.
+- ``on_applied(index, term)``: the entry at ``index`` is committed and applied.
 """
 
 import typing
@@ -24,7 +24,7 @@
     """
 
     node: typing.Any
-    state_of: typing.Callable
+    get_state: typing.Callable
     propose: typing.Callable
     confirm: typing.Callable
     leader_address: typing.Callable
--- a/alderreach/ops/keeper/joining.py
+++ b/alderreach/ops/keeper/joining.py
@@ -21,16 +21,16 @@
 
     ``addresses`` maps the names of the other keepers of the settings to addresses. In
     an open cell they are only the seeds: whoever asks is taken in, also one that was
-    removed while it was silent, and a keeper is named by its address. ``may_found`` is
-    False for a keeper that came later.
+    removed while it was silent, and a keeper is named by its address.
+    ``may_found_cell`` is False for a keeper that came later.
     ``is_removed`` is set once a leader said that this identity is no member any more.
     """
 
-    def __init__(self, context, node, addresses, is_open=False, may_found=True):
+    def __init__(self, context, node, addresses, is_open=False, may_found_cell=True):
         self._node = node
         self._addresses = addresses
         self._is_open = is_open
-        self._may_found = may_found
+        self._may_found = may_found_cell
         self._losses = context.settings.discovery.losses
         self._clock = context.clock
         self._timeline = context.timeline
--- a/alderreach/ops/keeper/requests.py
+++ b/alderreach/ops/keeper/requests.py
@@ -40,13 +40,13 @@
 class Requests:
     """Pending requests of one keeper; used by its task only.
 
-    ``state_of`` returns the state, which a snapshot replaces. While
+    ``get_state`` returns the state, which a snapshot replaces. While
     ``is_handing_over`` is set nothing new is taken.
     """
 
-    def __init__(self, node, state_of, send, clock, durations):
+    def __init__(self, node, get_state, send, clock, durations):
         self._node = node
-        self._state_of = state_of
+        self._state_of = get_state
         self._send = send
         self._clock = clock
         self._durations = durations
@@ -75,7 +75,7 @@
             self._term = self._node.term
             self._leases = owner_leases.Leases(self._node.elected_ms)
 
-    def applied(self, index, term, result):
+    def on_applied(self, index, term, result):
         """Answer who waits for the entry at ``index``."""
         for domain, granting in list(self._leases.pending_grants.items()):
             if granting <= index:
--- a/alderreach/ops/keeper/service.py
+++ b/alderreach/ops/keeper/service.py
@@ -80,19 +80,25 @@
     """The role object; all but ``deliver``, ``status`` and ``drain`` is its task's.
 
     ``extend`` makes the part that decides by this keeper's log from an
-    ``extension.Port``; ``open_cell`` says that keepers unknown to the settings may
-    join, and ``may_found`` that this one may found the cell.
+    ``extension.Port``; ``seed_addresses`` says that keepers unknown to the settings may
+    join, and ``may_found_cell`` that this one may found the cell.
     """
 
     def __init__(
-        self, context, opened, hooks, extend=None, open_cell=None, may_found=True
+        self,
+        context,
+        opened,
+        hooks,
+        extend=None,
+        seed_addresses=None,
+        may_found_cell=True,
     ):
         self._context = context
         self._clock = context.clock
         self._timeline = context.timeline
         self._send = context.transport.send
-        self._addresses = open_cell
-        if open_cell is None:
+        self._addresses = seed_addresses
+        if seed_addresses is None:
             self._addresses = {
                 peer.name: peer.address
                 for peer in context.settings.peers
@@ -104,7 +110,11 @@
         self._state = opened.state
         self._node = self._make_node(opened, hooks.random)
         self._joining = joining.Joining(
-            context, self._node, self._addresses, open_cell is not None, may_found
+            context,
+            self._node,
+            self._addresses,
+            seed_addresses is not None,
+            may_found_cell,
         )
         timing, limits = context.settings.timing, context.settings.limits
         self._requests = requests.Requests(
@@ -300,9 +310,9 @@
             index = self._state.index + 1
             entry = node.log.entry(index)
             result = self._apply_entry(entry, index)
-            self._requests.applied(index, entry.term, result)
+            self._requests.on_applied(index, entry.term, result)
             if self._extension:
-                self._extension.applied(index, entry.term)
+                self._extension.on_applied(index, entry.term)
 
     def _apply_entry(self, entry, index):
         if entry.kind == "members":
--- a/alderreach/platform/targets.py
+++ b/alderreach/platform/targets.py
@@ -57,7 +57,7 @@
     except http_client.NotSentError as error:
         return orders.OrderResult(_not_connected(error), detail=str(error))
     except (http_client.UnansweredError, wire.Malformed) as error:
-        is_broken_off = isinstance(error, http_client.BrokenOffError)
+        is_broken_off = isinstance(error, http_client.ConnectionLostError)
         return orders.OrderResult(
             orders.UNKNOWN, detail=str(error), lost_connection=is_broken_off
         )
