--- a/alderreach/ops/keeper/followers.py
+++ b/alderreach/ops/keeper/followers.py
@@ -29,7 +29,7 @@
         self.prefixes = tuple(prefixes)
         self.have_version = 0
         self.sent_version = 0
-        self.heard_ms = 0
+        self.last_contact_ms = 0
         self.began_empty = False
 
 
@@ -47,7 +47,7 @@
         """The version each follower said it has, by process name."""
         return {f.name: f.have_version for f in self._by_address.values()}
 
-    def asked(self, state, received, may_be_stale, now_ms):
+    def handle_follow(self, state, received, may_be_stale, now_ms):
         """Answer a Follow.
 
         A keeper that may be stale answers only with something newer. To a follower that
@@ -60,7 +60,7 @@
         if follower is None or (follower.boot_id, follower.prefixes) != wanted:
             follower = Follower(received.sender, wanted[0], address, wanted[1])
             self._by_address[address] = follower
-        follower.heard_ms = now_ms
+        follower.last_contact_ms = now_ms
         follower.have_version = follower.sent_version = message.have_version
         if may_be_stale and state.version <= message.have_version:
             return
@@ -88,7 +88,7 @@
     def forget_silent(self, now_ms):
         """Drop followers that have not asked for long."""
         for address, follower in list(self._by_address.items()):
-            if now_ms - follower.heard_ms > self._forget_ms:
+            if now_ms - follower.last_contact_ms > self._forget_ms:
                 del self._by_address[address]
 
     def _push(self, state, group, version):
--- a/alderreach/ops/keeper/joining.py
+++ b/alderreach/ops/keeper/joining.py
@@ -8,12 +8,12 @@
 from alderreach.core.generated import keeper
 
 HELLO_INTERVAL_MS = 200
-LOST_AFTER_ELECTIONS = 5
+DISCOVERY_AFTER_ELECTION_TIMEOUTS = 5
 # A voter silent for this long is replaced if there is a learner to take its place:
 # before the next loss is to be borne, which the users' platform sets at 4 s.
 SILENT_VOTER_MS = 2500
 # A blank keeper is taken in within a second; one that still is not says so this often.
-OUTSIDE_LINE_MS = 5000
+NOT_ADMITTED_EVENT_MS = 5000
 
 
 class Joining:
@@ -26,33 +26,35 @@
     ``is_removed`` is set once a leader said that this identity is no member any more.
     """
 
-    def __init__(self, context, node, addresses, is_open=False, may_found_cell=True):
+    def __init__(
+        self, context, node, addresses, is_open_cell=False, may_found_cell=True
+    ):
         self._node = node
         self._addresses = addresses
-        self._is_open = is_open
-        self._may_found = may_found_cell
-        self._losses = context.settings.discovery.losses
+        self._is_open_cell = is_open_cell
+        self._may_found_cell = may_found_cell
+        self._tolerated_losses = context.settings.discovery.losses
         self._clock = context.clock
         self._timeline = context.timeline
         self._send = context.transport.send
-        self._listen = context.settings.listen.peers
-        self._heard = {}
+        self._own_address = context.settings.listen.peers
+        self._hello_answers = {}
         self._started_ms = context.clock.monotonic_ms()
         self._next_hello_ms = 0
-        self._outside_line_ms = self._started_ms + OUTSIDE_LINE_MS
+        self._next_not_admitted_ms = self._started_ms + NOT_ADMITTED_EVENT_MS
         self._silent_voters = set()
         self.is_removed = False
 
     def tick(self, now_ms):
         """Seek the cell without a log or a leader; as leader, repair the membership."""
         if self._node.is_ready_leader:
-            self._note_silent_voters(now_ms)
+            self._record_silent_voters(now_ms)
             self._repair(now_ms)
-        elif now_ms >= self._next_hello_ms and self._is_lost(now_ms):
+        elif now_ms >= self._next_hello_ms and self._needs_discovery(now_ms):
             self._next_hello_ms = now_ms + HELLO_INTERVAL_MS
-            if not self._found(now_ms):
-                self._say_hello()
-                self._note_outside(now_ms)
+            if not self._try_found_cell(now_ms):
+                self._send_hellos()
+                self._record_not_admitted(now_ms)
 
     def handle_hello(self, message, address):
         """Answer a hello; as leader, take in a blank keeper of a name that is expected.
@@ -66,7 +68,11 @@
         leads = node.is_ready_leader
         known = membership.find(node.members, message.identity) is not None
         leader = membership.find(node.members, node.leader)
-        if self._is_open and leader is not None and leader.identity != node.identity:
+        if (
+            self._is_open_cell
+            and leader is not None
+            and leader.identity != node.identity
+        ):
             self._send(leader.address, message)
         reply = keeper.KeeperHelloReply(
             message.identity,
@@ -77,61 +83,65 @@
             leads and message.formed and not known,
         )
         self._send(address, reply)
-        if leads and not known and (self._is_open or not message.formed):
-            self._take_in(message)
+        if leads and not known and (self._is_open_cell or not message.formed):
+            self._admit(message)
 
     def handle_reply(self, message, now_ms):
         """Note what another keeper is."""
         if message.to != self._node.identity:
             return
-        self._heard[message.name] = founding.HelloAnswer(message, now_ms)
+        self._hello_answers[message.name] = founding.HelloAnswer(message, now_ms)
         if message.removed and not self.is_removed:
             self.is_removed = True
             self._timeline.record("identity_removed", detail=message.to)
 
-    def _is_lost(self, now_ms):
+    def _needs_discovery(self, now_ms):
         """Whether there is no cell, or no leader for much longer than an election."""
         node = self._node
         if not node.members:
             return True
-        silence_ms = LOST_AFTER_ELECTIONS * node.rules.election_timeout_ms
+        silence_ms = DISCOVERY_AFTER_ELECTION_TIMEOUTS * node.rules.election_timeout_ms
         last_contact_ms = (
             self._started_ms if node.last_contact_ms is None else node.last_contact_ms
         )
         return now_ms - last_contact_ms > silence_ms
 
-    def _found(self, now_ms):
+    def _try_found_cell(self, now_ms):
         node = self._node
-        if node.members or not self._may_found:
+        if node.members or not self._may_found_cell:
             return False
-        me = keeper.Member(node.identity, node.name, self._listen, True, False)
-        members = founding.founding_members(me, self._addresses, self._heard, now_ms)
+        me = keeper.Member(node.identity, node.name, self._own_address, True, False)
+        members = founding.founding_members(
+            me, self._addresses, self._hello_answers, now_ms
+        )
         if members is None:
             return False
-        term = founding.founding_term(node.term, self._heard)
+        term = founding.founding_term(node.term, self._hello_answers)
         raft.found_cell(node, members, term, self._clock.wall_ms())
-        self._timeline.record("cell_founded", epoch=term, detail=names(members))
+        self._timeline.record(
+            "cell_founded", epoch=term, detail=describe_members(members)
+        )
         return True
 
-    def _say_hello(self):
+    def _send_hellos(self):
         node = self._node
         hello = keeper.KeeperHello(
-            node.identity, node.name, self._listen, node.term, bool(node.members)
+            node.identity, node.name, self._own_address, node.term, bool(node.members)
         )
         for address in self._addresses.values():
             self._send(address, hello)
 
-    def _note_outside(self, now_ms):
+    def _record_not_admitted(self, now_ms):
         """Log that a blank keeper is not taken in; its old vote is missing."""
-        if self._node.members or now_ms < self._outside_line_ms:
+        if self._node.members or now_ms < self._next_not_admitted_ms:
             return
-        self._outside_line_ms = now_ms + OUTSIDE_LINE_MS
+        self._next_not_admitted_ms = now_ms + NOT_ADMITTED_EVENT_MS
         waited_ms = now_ms - self._started_ms
-        asked = ", ".join(self._addresses.values())
-        detail = f"for {waited_ms} ms, asked {asked}"
+        addresses = ", ".join(self._addresses.values())
+        detail = f"for {waited_ms} ms, asked {addresses}"
         self._timeline.record("not_taken_in", detail=detail)
 
-    def _note_silent_voters(self, now_ms):
+    def _record_silent_voters(self, now_ms):
         """A line for each voter that falls silent, and that is heard again."""
         node = self._node
         voters = {member.name for member in node.members if member.voter}
@@ -152,10 +162,10 @@
         progress = self._node.progress.get(identity)
         return progress is None or now_ms - progress.last_contact_ms > SILENT_VOTER_MS
 
-    def _take_in(self, message):
+    def _admit(self, message):
         node = self._node
         expected = {member.name for member in node.members} | set(self._addresses)
-        if message.name not in expected and not self._is_open:
+        if message.name not in expected and not self._is_open_cell:
             return
         members = membership.add_learner(node.members, message)
         if self._propose(members):
@@ -167,8 +177,8 @@
             self._node.members,
             lambda identity: raft_leader.is_caught_up(self._node, identity, now_ms),
         )
-        if command is None and self._is_open:
-            command = self._replacement(now_ms)
+        if command is None and self._is_open_cell:
+            command = self._next_replacement(now_ms)
         if command is None:
             return
         members = membership.change(self._node.members, command).unwrap()
@@ -176,11 +186,11 @@
             detail = f"{command.action} {command.name} {command.identity}"
             self._timeline.record("members_repair", detail=detail)
 
-    def _replacement(self, now_ms):
+    def _next_replacement(self, now_ms):
         """In an open cell others take the places of voters that are silent for long."""
         return membership.next_replacement(
             self._node.members,
-            2 * self._losses + 1,
+            2 * self._tolerated_losses + 1,
             lambda identity: self._is_silent(identity, now_ms),
             lambda identity: raft_leader.is_caught_up(self._node, identity, now_ms),
         )
@@ -192,7 +202,7 @@
         return index is not None
 
 
-def names(members):
+def describe_members(members):
     """A membership in one line for people."""
     return ", ".join(
         f"{member.name}{'' if member.voter else ' (learner)'}" for member in members
--- a/alderreach/ops/keeper/log_file.py
+++ b/alderreach/ops/keeper/log_file.py
@@ -72,7 +72,7 @@
     if header.format != FORMAT:
         return Err(f"{path}: format {header.format} is not known")
     if end < size:
-        _cut(path, end)
+        _truncate(path, end)
     return Ok(_replay(header, writes, size - end))
 
 
@@ -120,7 +120,7 @@
     return Loaded(header.identity, term, voted_for, log, torn_bytes)
 
 
-def _cut(path, end):
+def _truncate(path, end):
     with path.open("r+b") as file:
         file.truncate(end)
         os.fsync(file.fileno())
--- a/alderreach/ops/keeper/records.py
+++ b/alderreach/ops/keeper/records.py
@@ -15,8 +15,8 @@
 import xxhash
 from result import Err, Ok, Result
 
-MARK = b"\xa1rch"
-HEAD = struct.Struct("<4sIQ")
+MAGIC = b"\xa1rch"
+HEADER = struct.Struct("<4sIQ")
 
 
 class Scan(typing.NamedTuple):
@@ -29,7 +29,7 @@
 
 def frame(payload):
     """The bytes of one record."""
-    return HEAD.pack(MARK, len(payload), _checksum(payload)) + payload
+    return HEADER.pack(MAGIC, len(payload), _checksum(payload)) + payload
 
 
 def scan(path) -> Result:
@@ -42,7 +42,7 @@
         size = file.seek(0, 2)
         file.seek(0)
         end = 0
-        while (payload := _read(file, size - end)) is not None:
+        while (payload := _read_record(file, size - end)) is not None:
             payloads.append(payload)
             end = file.tell()
         if end < size and _has_record_after(file, end):
@@ -50,12 +50,12 @@
     return Ok(Scan(payloads, end, size))
 
 
-def _read(file, left):
-    head = file.read(HEAD.size)
-    if len(head) < HEAD.size:
+def _read_record(file, remaining_bytes):
+    header = file.read(HEADER.size)
+    if len(header) < HEADER.size:
         return None
-    mark, length, checksum = HEAD.unpack(head)
-    if mark != MARK or length > left - HEAD.size:
+    magic, length, checksum = HEADER.unpack(header)
+    if magic != MAGIC or length > remaining_bytes - HEADER.size:
         return None
     payload = file.read(length)
     return payload if _checksum(payload) == checksum else None
@@ -64,15 +64,15 @@
 def _has_record_after(file, offset):
     file.seek(offset + 1)
     rest = file.read()
-    place = rest.find(MARK)
-    while place >= 0:
-        head = rest[place : place + HEAD.size]
-        if len(head) == HEAD.size:
-            _mark, length, checksum = HEAD.unpack(head)
-            payload = rest[place + HEAD.size : place + HEAD.size + length]
+    position = rest.find(MAGIC)
+    while position >= 0:
+        header = rest[position : position + HEADER.size]
+        if len(header) == HEADER.size:
+            _magic, length, checksum = HEADER.unpack(header)
+            payload = rest[position + HEADER.size : position + HEADER.size + length]
             if len(payload) == length and _checksum(payload) == checksum:
                 return True
-        place = rest.find(MARK, place + 1)
+        position = rest.find(MAGIC, position + 1)
     return False
 
 
--- a/alderreach/ops/keeper/reporting.py
+++ b/alderreach/ops/keeper/reporting.py
@@ -24,11 +24,11 @@
     }
     for name, version in versions.items():
         detail[f"version.{name}"] = version
-    word = _state_word(node, is_removed)
-    return daemon.RoleStatus(state.version, word, ready, detail)
+    state_name = _state_name(node, is_removed)
+    return daemon.RoleStatus(state.version, state_name, ready, detail)
 
 
-def record_opening(timeline, opened):
+def record_opened_folder(timeline, opened):
     """Tell the time line what the data folder held, and whether its log was torn."""
     if opened.torn_bytes:
         detail = f"a torn last record of {opened.torn_bytes} bytes was cut off"
@@ -45,7 +45,7 @@
         metrics.gauge(f"keeper_{name}", status.detail[name])
 
 
-def _state_word(node, is_removed):
+def _state_name(node, is_removed):
     if is_removed:
         return "removed"
     return node.role if node.is_voter else "learner"
--- a/alderreach/ops/keeper/requests.py
+++ b/alderreach/ops/keeper/requests.py
@@ -21,7 +21,7 @@
 from alderreach.core.generated import keeper
 
 
-class Asker(typing.NamedTuple):
+class Requester(typing.NamedTuple):
     """Who waits for a reply."""
 
     address: str
@@ -46,11 +46,11 @@
 
     def __init__(self, node, get_state, send, clock, durations):
         self._node = node
-        self._state_of = get_state
+        self._get_state = get_state
         self._send = send
         self._clock = clock
         self._durations = durations
-        self._appended = {}
+        self._requesters_by_index = {}
         self._in_flight = set()
         self._reads = []
         self._leases = owner_leases.Leases(0)
@@ -62,37 +62,37 @@
         if isinstance(message, keeper.RenewOwnership):
             self._renew(message, address)
             return
-        asker = Asker(address, message.request_id)
+        requester = Requester(address, message.request_id)
         if self._node.role != raft.LEADER or self.is_handing_over:
-            self._refuse(asker)
+            self._refuse(requester)
         elif message.request_id not in self._in_flight:
-            self._handle_as_leader(message, asker)
+            self._handle_as_leader(message, requester)
 
-    def lead(self):
+    def start_term(self):
         """Begin a term of leadership, if one began since the last call."""
         if self._node.role == raft.LEADER and self._term != self._node.term:
-            self._give_up()
+            self._fail_pending()
             self._term = self._node.term
             self._leases = owner_leases.Leases(self._node.elected_ms)
 
     def on_applied(self, index, term, result):
         """Answer who waits for the entry at ``index``."""
-        for domain, granting in list(self._leases.pending_grants.items()):
-            if granting <= index:
+        for domain, grant_index in list(self._leases.pending_grants.items()):
+            if grant_index <= index:
                 del self._leases.pending_grants[domain]
-        asker = self._appended.pop(index, None)
-        if asker is None:
+        requester = self._requesters_by_index.pop(index, None)
+        if requester is None:
             return
-        self._in_flight.discard(asker.request_id)
+        self._in_flight.discard(requester.request_id)
         if term != self._term or result is None:
-            self._reply(asker, "uncertain")
+            self._reply(requester, "uncertain")
         else:
-            self._reply(asker, "ok", codec.pack(result))
+            self._reply(requester, "ok", codec.pack(result))
 
-    def settle(self, applied_index):
+    def resolve_reads(self, applied_index):
         """Answer reads that are confirmed; give up all if leadership was lost."""
         if self._node.role != raft.LEADER or self._term != self._node.term:
-            self._give_up()
+            self._fail_pending()
             return
         if not self._reads or not self._node.is_ready_leader:
             return
@@ -105,61 +105,61 @@
                 waiting.append(read)
         self._reads = waiting
 
-    def _handle_as_leader(self, message, asker):
+    def _handle_as_leader(self, message, requester):
         unpacked = codec.unpack(message.command)
         if isinstance(unpacked, Err):
-            self._reply(asker, "no_quorum")
+            self._reply(requester, "no_quorum")
             return
         command = unpacked.ok_value
         if type(command) in READS:
-            self._read(asker, command)
+            self._read(requester, command)
         elif isinstance(command, keeper.ChangeMembers):
-            self._change_members(asker, command)
+            self._change_members(requester, command)
         elif isinstance(command, keeper.GrantOwnership):
-            self._grant(asker, command, message.command)
+            self._grant(requester, command, message.command)
         elif isinstance(command, keeper_state.LOGGED_COMMANDS):
-            self._append(asker, message.command)
+            self._append(requester, message.command)
         else:
-            self._reply(asker, "no_quorum")
+            self._reply(requester, "no_quorum")
 
-    def _append(self, asker, data):
+    def _append(self, requester, data):
         clock = self._clock
         index = raft.propose(
             self._node, "command", data, clock.wall_ms(), clock.monotonic_ms()
         )
-        self._await(asker, index)
+        self._add_pending(requester, index)
         return index
 
-    def _await(self, asker, index):
+    def _add_pending(self, requester, index):
         if index is None:
-            self._reply(asker, "no_quorum")
+            self._reply(requester, "no_quorum")
             return
-        self._appended[index] = asker
-        self._in_flight.add(asker.request_id)
+        self._requesters_by_index[index] = requester
+        self._in_flight.add(requester.request_id)
 
-    def _grant(self, asker, command, data):
+    def _grant(self, requester, command, data):
         """Log a grant, or refuse it while the present owner's lease can still run.
 
         Before the first entry of its term is committed the leader does not know which
         owner is in force.
         """
         if not self._node.is_ready_leader:
-            self._reply(asker, "no_quorum")
+            self._reply(requester, "no_quorum")
             return
         domain = command.failure_domain
-        owner = keeper_state.owner_of(self._state_of(), domain)
+        owner = keeper_state.owner_of(self._get_state(), domain)
         now_ms = self._clock.monotonic_ms()
         if not owner_leases.may_grant(
             self._leases, owner, command, self._durations, now_ms
         ):
             owner = owner or keeper_state.no_owner(domain)
-            self._reply(asker, "ok", codec.pack(keeper.GrantResult("owned", owner)))
+            self._reply(requester, "ok", codec.pack(keeper.GrantResult("owned", owner)))
             return
-        index = self._append(asker, data)
+        index = self._append(requester, data)
         if index is not None:
             self._leases.pending_grants[domain] = index
 
-    def _change_members(self, asker, command):
+    def _change_members(self, requester, command):
         node = self._node
         changed = membership.change(node.members, command)
         reason = changed.err_value if isinstance(changed, Err) else ""
@@ -171,19 +171,19 @@
             reason = "the learner has not caught up yet"
         if reason:
             result = keeper.MembersResult("refused", reason, node.members)
-            self._reply(asker, "ok", codec.pack(result))
+            self._reply(requester, "ok", codec.pack(result))
             return
         index = raft.propose_members(
             node, changed.ok_value, self._clock.wall_ms(), now_ms
         )
-        self._await(asker, index)
+        self._add_pending(requester, index)
 
-    def _read(self, asker, command):
+    def _read(self, requester, command):
         def answer():
-            result = READS[type(command)](self._node, self._state_of(), command)
-            self._reply(asker, "ok", codec.pack(result))
+            result = READS[type(command)](self._node, self._get_state(), command)
+            self._reply(requester, "ok", codec.pack(result))
 
-        self.confirm(answer, lambda: self._reply(asker, "not_leader"))
+        self.confirm(answer, lambda: self._reply(requester, "not_leader"))
 
     def confirm(self, answer, refuse):
         """Call ``answer`` once a round of voters has confirmed this leadership.
@@ -198,11 +198,11 @@
 
     def _renew(self, message, address):
         """Confirm an owner's lease by a round, and remember when it was asked for."""
-        state = self._state_of()
+        state = self._get_state()
         owner = keeper_state.owner_of(state, message.failure_domain)
 
         def may_renew():
-            in_force = keeper_state.owner_of(self._state_of(), message.failure_domain)
+            in_force = keeper_state.owner_of(self._get_state(), message.failure_domain)
             return owner_leases.may_renew(self._leases, in_force, message)
 
         def reply(granted, lease_ms=0):
@@ -233,23 +233,23 @@
             lambda: reply(False),
         )
 
-    def _refuse(self, asker):
-        self._reply(asker, "not_leader" if self._node.leader_name else "no_quorum")
+    def _refuse(self, requester):
+        self._reply(requester, "not_leader" if self._node.leader_name else "no_quorum")
 
-    def _give_up(self):
+    def _fail_pending(self):
         reads, self._reads = self._reads, []
         for read in reads:
             read.refuse()
-        appended, self._appended = self._appended, {}
+        appended, self._requesters_by_index = self._requesters_by_index, {}
         self._in_flight = set()
-        for asker in appended.values():
-            self._reply(asker, "uncertain")
+        for requester in appended.values():
+            self._reply(requester, "uncertain")
 
-    def _reply(self, asker, status, result=b""):
+    def _reply(self, requester, status, result=b""):
         reply = keeper.KeeperReply(
-            asker.request_id, status, self._node.leader_name, result
+            requester.request_id, status, self._node.leader_name, result
         )
-        self._send(asker.address, reply)
+        self._send(requester.address, reply)
 
 
 def members_result(members):
--- a/alderreach/ops/keeper/snapshot_file.py
+++ b/alderreach/ops/keeper/snapshot_file.py
@@ -53,8 +53,8 @@
         file.write(records.frame(END))
         file.flush()
         os.fsync(file.fileno())
-    _put_in_force(path)
-    return _opened(pathlib.Path(folder) / FILE, header)
+    _make_current(path)
+    return _open_snapshot(pathlib.Path(folder) / FILE, header)
 
 
 def load(folder) -> Result:
@@ -71,9 +71,9 @@
     ``when_room(write)`` calls ``write`` until the disk has room for it.
     """
 
-    def __init__(self, folder, when_room):
+    def __init__(self, folder, retry_while_full):
         self._folder = pathlib.Path(folder)
-        self._when_room = when_room
+        self._retry_while_full = retry_while_full
         self._file = None
         self.loaded = None
 
@@ -84,7 +84,7 @@
 
     def write(self, data):
         """Add the next bytes."""
-        self._when_room(lambda: files.append_whole(self._file, data))
+        self._retry_while_full(lambda: files.append_whole(self._file, data))
 
     def finish(self):
         """Sync and check the file and put it in force; None if it is not whole.
@@ -96,7 +96,7 @@
         self.close()
         if isinstance(_load(path), Err):
             return None
-        _put_in_force(path)
+        _make_current(path)
         self.loaded = _load(self._folder / FILE).unwrap()
         return self.loaded.snapshot
 
@@ -107,7 +107,7 @@
             self._file = None
 
 
-def _put_in_force(path):
+def _make_current(path):
     path.replace(path.with_name(FILE))
     files.sync_folder(path.parent)
 
@@ -126,10 +126,10 @@
         return Err(f"{path}: a record holds something else: {error}")
     if header.format != FORMAT:
         return Err(f"{path}: format {header.format} is not known")
-    return Ok(Loaded(_opened(path, header), state))
+    return Ok(Loaded(_open_snapshot(path, header), state))
 
 
-def _opened(path, header):
+def _open_snapshot(path, header):
     """A Snapshot that stays readable after a newer one took the file's name."""
     file = path.open("rb")
     size = os.fstat(file.fileno()).st_size
--- a/alderreach/ops/keeper/storage.py
+++ b/alderreach/ops/keeper/storage.py
@@ -13,7 +13,7 @@
 LOCK_FILE = "lock"
 
 
-class Opened(typing.NamedTuple):
+class OpenedFolder(typing.NamedTuple):
     """What the folder held, checked."""
 
     identity: str
@@ -47,7 +47,7 @@
     loaded = log_file.load(folder)
     if isinstance(loaded, Err):
         return loaded
-    return _fit(folder, loaded.ok_value, snapshot.ok_value, is_new)
+    return _combine(folder, loaded.ok_value, snapshot.ok_value, is_new)
 
 
 def _lock(folder, stack):
@@ -60,9 +60,9 @@
     return Ok(None)
 
 
-def _fit(folder, loaded, kept, is_new):
+def _combine(folder, loaded, loaded_snapshot, is_new):
     log = loaded.log
-    snapshot = kept.snapshot if kept else None
+    snapshot = loaded_snapshot.snapshot if loaded_snapshot else None
     covered = snapshot.index if snapshot else 0
     if covered < log.base_index:
         return Err(
@@ -72,9 +72,9 @@
     if snapshot and log.term_at(covered) != snapshot.term:
         # The process ended between installing a snapshot and starting its log anew.
         log.reset(covered, snapshot.term)
-    state = kept.state if kept else keeper_state.State()
+    state = loaded_snapshot.state if loaded_snapshot else keeper_state.State()
     return Ok(
-        Opened(
+        OpenedFolder(
             loaded.identity,
             loaded.term,
             loaded.voted_for,
