--- a/alderreach/utils/event_log.py
+++ b/alderreach/utils/event_log.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-QUEUE_EVENTS = 4000
+MAX_QUEUED_EVENTS = 4000
 # Lines a second of one kind, above the starts of a busy cell, each of which has a line;
 # without a bound, a storm of failures would take the processor.
-KIND_EVENTS_PER_S = 1200
-LINES_PER_WRITE = 200
+MAX_EVENTS_PER_KIND_PER_S = 1200
+MAX_LINES_PER_WRITE = 200
 # A reader that takes nothing for so long has stalled.
-STALLED_S = 1
+STALL_TIMEOUT_S = 1
 STOP = object()
 
 _encode = msgspec.json.Encoder().encode
@@ -60,12 +60,12 @@
         """Wait until what was recorded is written, unless the reader has stalled."""
         written = threading.Event()
         self._queue.put(written)
-        written.wait(timeout=STALLED_S)
+        written.wait(timeout=STALL_TIMEOUT_S)
 
     def close(self):
         """Write what is queued, unless the reader has stalled."""
         self._queue.put(STOP)
-        self._thread.join(timeout=STALLED_S)
+        self._thread.join(timeout=STALL_TIMEOUT_S)
 
     def _has_budget(self, kind, now_ms):
         second = now_ms // 1000
@@ -75,8 +75,8 @@
             self._report_dropped()
         self._counts[kind] += 1
         return (
-            self._counts[kind] <= KIND_EVENTS_PER_S
-            and self._queue.qsize() < QUEUE_EVENTS
+            self._counts[kind] <= MAX_EVENTS_PER_KIND_PER_S
+            and self._queue.qsize() < MAX_QUEUED_EVENTS
         )
 
     def _report_dropped(self):
@@ -94,7 +94,7 @@
             lines = []
             while isinstance(event, dict):
                 lines.append(_encode(event))
-                if self._queue.empty() or len(lines) >= LINES_PER_WRITE:
+                if self._queue.empty() or len(lines) >= MAX_LINES_PER_WRITE:
                     break
                 event = self._queue.get()
             if lines:
--- a/alderreach/utils/event_loop.py
+++ b/alderreach/utils/event_loop.py
@@ -10,7 +10,7 @@
 
 from absl import logging
 
-CLOSE_WAIT_S = 5
+CLOSE_TIMEOUT_S = 5
 
 
 class EventLoop:
@@ -20,18 +20,18 @@
         self._loop = asyncio.new_event_loop()
         self._posted = collections.deque()
         self._lock = threading.Lock()
-        self._is_woken = False
+        self._is_wakeup_scheduled = False
         self._is_closed = False
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
         self._thread.start()
 
-    def post(self, act):
+    def post(self, callback):
         """Have ``act()`` called on the loop; any thread may ask, and never waits."""
-        self._posted.append(act)
+        self._posted.append(callback)
         with self._lock:
-            if self._is_woken or self._is_closed:
+            if self._is_wakeup_scheduled or self._is_closed:
                 return
-            self._is_woken = True
+            self._is_wakeup_scheduled = True
             self._loop.call_soon_threadsafe(self._run_posted)
 
     def close(self):
@@ -41,15 +41,15 @@
                 return
             self._is_closed = True
             self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(timeout=CLOSE_WAIT_S)
+        self._thread.join(timeout=CLOSE_TIMEOUT_S)
 
     def _run_posted(self):
         with self._lock:
-            self._is_woken = False
+            self._is_wakeup_scheduled = False
         while self._posted:
-            act = self._posted.popleft()
+            callback = self._posted.popleft()
             try:
-                act()
+                callback()
             except Exception:
                 logging.exception("fault in work on the event loop")
 
--- a/alderreach/utils/files.py
+++ b/alderreach/utils/files.py
@@ -32,10 +32,10 @@
     Raises DiskFull if there is no room, and OSError if the disk fails otherwise.
     """
     size = file.seek(0, os.SEEK_END)
-    left = data
+    remaining = data
     try:
-        while left:
-            left = left[file.write(left) :]
+        while remaining:
+            remaining = remaining[file.write(remaining) :]
     except OSError as error:
         if error.errno != errno.ENOSPC:
             raise
--- a/alderreach/utils/http_client.py
+++ b/alderreach/utils/http_client.py
@@ -114,7 +114,7 @@
         ``timeout_s`` is for the answer; connecting has its own time limit.
         """
         loop = asyncio.get_running_loop()
-        connection = await self._connected(loop)
+        connection = await self._open_connection(loop)
         answer = loop.create_future()
         connection.send(self._request(path, body, headers), answer)
         timer = loop.call_later(timeout_s, _time_out, answer)
@@ -131,7 +131,7 @@
         if self._connection is not None:
             self._connection.abort()
 
-    async def _connected(self, loop):
+    async def _open_connection(self, loop):
         if self._connection is not None and self._connection.is_open:
             return self._connection
         try:
--- a/alderreach/utils/http_connection.py
+++ b/alderreach/utils/http_connection.py
@@ -16,10 +16,10 @@
 
 from cheroot import makefile, server
 
-HELD_BYTES = 32_768
-LINGER_MS = 1000
-LINGER_READ_BYTES = 65536
-UNREAD_LINGER_BYTES = 16 * 1024 * 1024
+MAX_BUFFERED_BYTES = 32_768
+LINGER_TIMEOUT_MS = 1000
+LINGER_CHUNK_BYTES = 65536
+MAX_LINGER_BYTES = 16 * 1024 * 1024
 
 
 class Refusal(typing.NamedTuple):
@@ -36,12 +36,12 @@
     def __init__(self, sock, clock):
         self._socket = sock
         self._clock = clock
-        self._give_up_ms = 0
+        self._deadline_ms = 0
         self.may_read = True
 
-    def allow(self, duration_ms):
+    def start_deadline(self, duration_ms):
         """Let all reads from now on take so long together."""
-        self._give_up_ms = self._clock.monotonic_ms() + duration_ms
+        self._deadline_ms = self._clock.monotonic_ms() + duration_ms
 
     def readable(self):
         return True
@@ -50,10 +50,10 @@
         """Read what is there; None tells the buffer above that nothing is."""
         if not self.may_read:
             return None
-        left_ms = self._give_up_ms - self._clock.monotonic_ms()
-        if left_ms <= 0:
+        remaining_ms = self._deadline_ms - self._clock.monotonic_ms()
+        if remaining_ms <= 0:
             raise TimeoutError("timed out")
-        self._socket.settimeout(left_ms / 1000)
+        self._socket.settimeout(remaining_ms / 1000)
         return self._socket.recv_into(buffer)
 
 
@@ -74,45 +74,47 @@
 class _Writer(makefile.StreamWriter):
     """A writer that gives a caller one span for a whole answer."""
 
-    def __init__(self, sock, clock, span_ms):
+    def __init__(self, sock, clock, timeout_ms):
         super().__init__(sock, "wb")
         self._socket = sock
         self._clock = clock
-        self._span_ms = span_ms
-        self._give_up_ms = None
-        self._holds = False
+        self._timeout_ms = timeout_ms
+        self._deadline_ms = None
+        self._is_buffering = False
 
-    def hold(self):
+    def start_buffering(self):
         """Collect a small answer, so that head and body go out in one call.
 
         Each call of the kernel lets another thread take the interpreter lock.
         """
-        self._holds = True
+        self._is_buffering = True
 
-    def release(self):
+    def flush_buffered(self):
         """Send what was held."""
-        self._holds = False
+        self._is_buffering = False
         with self._write_lock:
             self._flush_unlocked()
 
     def start_answer(self):
         """The span starts with the first byte of the next answer."""
-        self._give_up_ms = None
-        self._holds = False
+        self._deadline_ms = None
+        self._is_buffering = False
 
     def _flush_unlocked(self):
-        if not self._write_buf or (self._holds and len(self._write_buf) < HELD_BYTES):
+        if not self._write_buf or (
+            self._is_buffering and len(self._write_buf) < MAX_BUFFERED_BYTES
+        ):
             return
         now_ms = self._clock.monotonic_ms()
-        if self._give_up_ms is None:
-            self._give_up_ms = now_ms + self._span_ms
+        if self._deadline_ms is None:
+            self._deadline_ms = now_ms + self._timeout_ms
         buffered, sent = bytes(self._write_buf), 0
         self._write_buf.clear()
         while sent < len(buffered):
-            left_ms = self._give_up_ms - self._clock.monotonic_ms()
-            if left_ms <= 0:
+            remaining_ms = self._deadline_ms - self._clock.monotonic_ms()
+            if remaining_ms <= 0:
                 raise TimeoutError("timed out")
-            self._socket.settimeout(left_ms / 1000)
+            self._socket.settimeout(remaining_ms / 1000)
             sent += self._socket.send(memoryview(buffered)[sent:])
 
 
@@ -153,9 +155,9 @@
 
     def respond(self):
         """Let the application answer; a fault of it sends nothing of what was held."""
-        self.conn.wfile.hold()
+        self.conn.wfile.start_buffering()
         super().respond()
-        self.conn.wfile.release()
+        self.conn.wfile.flush_buffered()
 
     def send_headers(self):
         """Answer a request whose body was not read whole, and end the connection."""
@@ -177,37 +179,37 @@
 
     def __init__(self, http_server, sock, _makefile=None):
         super().__init__(http_server, sock)
-        clock, span_ms = http_server.clock, http_server.idle_ms
-        self._span_ms = span_ms
+        clock, timeout_ms = http_server.clock, http_server.idle_ms
+        self._timeout_ms = timeout_ms
         self._clock = clock
-        self._timed = _TimedSocket(sock, clock)
-        self.rfile = _Reader(self._timed)
-        self.wfile = _Writer(sock, clock, span_ms)
+        self._timed_socket = _TimedSocket(sock, clock)
+        self.rfile = _Reader(self._timed_socket)
+        self.wfile = _Writer(sock, clock, timeout_ms)
         self.must_linger = False
 
     def communicate(self):
         """Serve one request; True if the connection stays open."""
-        self._timed.allow(self._span_ms)
+        self._timed_socket.start_deadline(self._timeout_ms)
         self.wfile.start_answer()
         stays_open = super().communicate()
         if not stays_open and self.must_linger:
-            self._await_end()
+            self._linger()
         return stays_open
 
-    def _await_end(self):
+    def _linger(self):
         """Read away what the caller still sends, for a bounded time and amount."""
-        give_up_ms = self._clock.monotonic_ms() + LINGER_MS
-        left_bytes = UNREAD_LINGER_BYTES
+        deadline_ms = self._clock.monotonic_ms() + LINGER_TIMEOUT_MS
+        remaining_bytes = MAX_LINGER_BYTES
         try:
             self.socket.shutdown(socket.SHUT_WR)
-            while left_bytes > 0:
-                left_ms = give_up_ms - self._clock.monotonic_ms()
-                if left_ms <= 0:
+            while remaining_bytes > 0:
+                remaining_ms = deadline_ms - self._clock.monotonic_ms()
+                if remaining_ms <= 0:
                     return
-                self.socket.settimeout(left_ms / 1000)
-                data = self.socket.recv(LINGER_READ_BYTES)
+                self.socket.settimeout(remaining_ms / 1000)
+                data = self.socket.recv(LINGER_CHUNK_BYTES)
                 if not data:
                     return
-                left_bytes -= len(data)
+                remaining_bytes -= len(data)
         except OSError:
             return
--- a/alderreach/utils/http_server.py
+++ b/alderreach/utils/http_server.py
@@ -13,13 +13,13 @@
 
 from alderreach.utils import clocks, http_connection, http_threads
 
-CLOSE_WAIT_S = 5
+CLOSE_TIMEOUT_S = 5
 ACCEPT_BACKLOG = 256
 # The server's own default of 10 would end all other connections after each answer, and
 # every request of theirs would pay for a new one.
-IDLE_CONNECTIONS_MAX = 1000
+MAX_IDLE_CONNECTIONS = 1000
 # Threads that a listener keeps while nobody calls.
-THREADS_LEAST = 1
+MIN_THREADS = 1
 
 
 class HttpLimits(typing.NamedTuple):
@@ -52,14 +52,14 @@
             application,
             request_queue_size=ACCEPT_BACKLOG,
             timeout=limits.idle_ms / 1000,
-            shutdown_timeout=CLOSE_WAIT_S,
+            shutdown_timeout=CLOSE_TIMEOUT_S,
         )
         self._server.requests = http_threads.GrowingPool(
-            self._server, min(THREADS_LEAST, limits.threads), limits.threads
+            self._server, min(MIN_THREADS, limits.threads), limits.threads
         )
         self._server.max_request_header_size = limits.header_bytes
         self._server.max_request_body_size = limits.body_bytes
-        self._server.keep_alive_conn_limit = IDLE_CONNECTIONS_MAX
+        self._server.keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
         self._server.ConnectionClass = http_connection.Connection
         self._server.refuse = refuse
         self._server.clock = clock
@@ -74,4 +74,4 @@
     def close(self):
         """Stop accepting; requests being answered get ``CLOSE_WAIT_S`` to finish."""
         self._server.stop()
-        self._thread.join(timeout=CLOSE_WAIT_S)
+        self._thread.join(timeout=CLOSE_TIMEOUT_S)
--- a/alderreach/utils/http_threads.py
+++ b/alderreach/utils/http_threads.py
@@ -21,12 +21,12 @@
     Above ``most`` requests wait their turn.
     """
 
-    def __init__(self, server, least, most):
-        super().__init__(server, min=least, max=most)
+    def __init__(self, server, min_threads, max_threads):
+        super().__init__(server, min=min_threads, max=max_threads)
         self._lock = threading.Lock()
         # Threads that wait for a request, less the requests that no thread has yet.
         self._spare = 0
-        self.get = self._take
+        self.get = self._get_connection
 
     def put(self, obj):
         """Hand in a connection with a request to read."""
@@ -46,7 +46,7 @@
         with self._lock:
             self._threads.append(worker)
 
-    def _take(self):
+    def _get_connection(self):
         """Wait for a connection; called by the pool's threads."""
         with self._lock:
             self._spare += 1
@@ -54,10 +54,10 @@
             try:
                 return self._queue.get(timeout=IDLE_S)
             except queue.Empty:
-                if self._may_leave():
+                if self._remove_if_spare():
                     return threadpool._SHUTDOWNREQUEST
 
-    def _may_leave(self):
+    def _remove_if_spare(self):
         """Take the calling thread out of the pool if it is not needed."""
         with self._lock:
             if self._spare <= 0 or len(self._threads) <= self.min:
--- a/alderreach/utils/tasks.py
+++ b/alderreach/utils/tasks.py
@@ -103,5 +103,5 @@
             if message is STOP:
                 return
             self._handle(message)
-            soon_ms = self._clock.monotonic_ms() + self._tick_ms
-            next_tick_ms = min(next_tick_ms, soon_ms)
+            latest_tick_ms = self._clock.monotonic_ms() + self._tick_ms
+            next_tick_ms = min(next_tick_ms, latest_tick_ms)
--- a/alderreach/utils/timeline.py
+++ b/alderreach/utils/timeline.py
@@ -107,13 +107,13 @@
 
 def matches(event, query):
     """Whether an event passes every filter of a ``TimelineQuery`` that is not empty."""
-    wanted = (
+    filters = (
         (query.match_request_id, event.request_id),
         (query.match_job_id, event.job_id),
         (query.match_target_id, event.target_id),
         (query.match_team, event.team),
     )
-    return all(not asked or asked == value for asked, value in wanted)
+    return all(not expected or expected == value for expected, value in filters)
 
 
 def merge(pages):
@@ -123,11 +123,11 @@
     their own order even where its wall clock stepped back: such an event is placed as
     if it had happened right after its predecessor.
     """
-    placed = []
+    keyed = []
     for page in pages:
         latest_ms = 0
         for number, event in enumerate(page):
             latest_ms = max(latest_ms, event.wall_ms)
-            placed.append((latest_ms, event.process, event.boot_id, number, event))
-    placed.sort(key=lambda entry: entry[:4])
-    return [entry[4] for entry in placed]
+            keyed.append((latest_ms, event.process, event.boot_id, number, event))
+    keyed.sort(key=lambda entry: entry[:4])
+    return [entry[4] for entry in keyed]
--- a/alderreach/utils/transport.py
+++ b/alderreach/utils/transport.py
@@ -22,8 +22,8 @@
 SEND_BUFFER_MESSAGES = 512
 RECEIVE_BUFFER_MESSAGES = 1024
 RECEIVE_POLL_MS = 200
-MESSAGE_BYTES_MAX = 64 * 1024 * 1024
-OUTBOX_MESSAGES_MAX = 20_000
+MAX_MESSAGE_BYTES = 64 * 1024 * 1024
+MAX_OUTBOX_MESSAGES = 20_000
 STOP = object()
 # nng makes several threads for each processor of the machine unless told otherwise; a
 # process here seldom has more than one processor, and there may be hundreds.
@@ -82,7 +82,7 @@
         self._on_undecodable = on_undecodable or (lambda text: None)
         self._outbox = queue.SimpleQueue()
         self._links = {}
-        self._heard_ms = {}
+        self._last_contact_ms = {}
         self.dropped = 0
         self.undecodable = 0
         self.bytes_sent = 0
@@ -90,7 +90,7 @@
         self._pull = pynng.Pull0(
             recv_timeout=RECEIVE_POLL_MS,
             recv_buffer_size=RECEIVE_BUFFER_MESSAGES,
-            recv_max_size=MESSAGE_BYTES_MAX,
+            recv_max_size=MAX_MESSAGE_BYTES,
         )
         self._pull.listen(f"tcp://{address}")
         self._stopping = threading.Event()
@@ -107,7 +107,7 @@
 
     def send(self, address, message):
         """Queue a message for an address; never blocks, may lose it."""
-        if self._outbox.qsize() >= OUTBOX_MESSAGES_MAX:
+        if self._outbox.qsize() >= MAX_OUTBOX_MESSAGES:
             self.dropped += 1
             return
         self._outbox.put((address, message))
@@ -141,7 +141,7 @@
         envelope = received.ok_value
         address = self._peers.get(envelope.sender, envelope.reply_address)
         envelope = envelope._replace(reply_address=address)
-        self._heard_ms[envelope.reply_address] = self._clock.monotonic_ms()
+        self._last_contact_ms[envelope.reply_address] = self._clock.monotonic_ms()
         self._deliver(envelope)
 
     def _send_all(self):
@@ -177,5 +177,5 @@
         return link
 
     def _is_silent(self, address, link, now_ms):
-        last_ms = max(self._heard_ms.get(address, 0), link.dialled_ms)
+        last_ms = max(self._last_contact_ms.get(address, 0), link.dialled_ms)
         return now_ms - last_ms > self._silence_ms
