--- a/alderreach/ops/keeper/disk.py
+++ b/alderreach/ops/keeper/disk.py
@@ -1,16 +1,17 @@
-"""What a running keeper does with its data folder: log writes, snapshots, compaction.
+"""The data folder of a running keeper: log writes, snapshots and compaction.
 
 Any failed write or sync of the log ends the process. A failed sync may have dropped
-what it should have kept, and a second one would report success, so a vote or
-acknowledgement after it could promise something that is gone. Operators see
-``storage_failed`` in the time line and the log; the other keepers go on.
-
-A full disk is another matter: nothing was written, and room may come back. Failure
-answered: the process ended, was started again and ended at its first write, over and
-over, until the platform gave it up. Now the keeper's task waits for room. To the others
-it looks like a process that is frozen: it neither votes nor acknowledges, a leader is
-replaced, and what it had to write is written, and only then answered for, once there is
-room. Operators see ``disk_full`` and ``disk_has_room``, and the gauge ``disk_full``.
+data, and a second sync would report success, so a later vote or acknowledgement could
+promise something that is lost. Operators see ``storage_failed`` in the time line and
+the log; the other keepers continue.
+
+A full disk does not end the process: nothing was written, and space may become free
+again. If the process exited, the platform would restart it, it would exit at its first
+write again, and after several restarts the platform would give up on it. Instead the
+keeper's task waits for free space. To the other keepers it looks like a frozen process:
+it neither votes nor acknowledges, and if it was the leader, it is replaced. Once there
+is space, the pending data is written, and only then are the requests answered.
+Operators see ``disk_full`` and ``disk_has_room``, and the gauge ``disk_full``.
 """
 
 import time
@@ -23,23 +24,24 @@
 from alderreach.utils import files
 
 EXIT_STORAGE = 4
-# How often a write is tried again on a full disk.
+# Delay between two attempts to write to a full disk.
 DISK_FULL_RETRY_S = 0.1
+# Compaction keeps at most this much of the log that a snapshot covers.
 MAX_LOG_TAIL_BYTES = 8 << 20
 
 
 class SnapshotWritten(typing.NamedTuple):
-    """Mail for the keeper's task; ``snapshot`` is None if it could not be written."""
+    """Message to the keeper's task; ``snapshot`` is None if writing it failed."""
 
     snapshot: raft_state.Snapshot | None
 
 
 class Disk:
-    """The open files of one keeper; all but ``_write_snapshot`` is its task's.
+    """The open files of one keeper; only ``_write_snapshot`` runs outside its task.
 
-    ``hooks.run_aside(work)`` runs a snapshot's writing beside the task, ``put`` gives
-    the task mail, ``hooks.end_process(code)`` ends the process without any clean-up,
-    and ``hooks.wait(seconds)`` lets time pass.
+    ``hooks.run_in_background(work)`` writes a snapshot outside the task,
+    ``put(message)`` sends the task a message, ``hooks.end_process(code)`` ends the
+    process without any clean-up, and ``hooks.wait(seconds)`` waits.
     """
 
     def __init__(self, context, identity, hooks, put):
@@ -54,9 +56,9 @@
         self.sink = snapshot_file.Sink(self._folder, self._retry_while_full)
 
     def write(self, node):
-        """Sync what is new; returns the state of a snapshot just installed, or None.
+        """Write and sync new entries; return an installed snapshot's state, or None.
 
-        An installed snapshot may replace entries, so the log is then written anew.
+        An installed snapshot may replace entries, so the log is then rewritten in full.
         """
         try:
             write = raft.pop_write(node)
@@ -72,7 +74,7 @@
         return None
 
     def snapshot_if_due(self, node, state):
-        """Start writing a snapshot once enough entries were applied since the last."""
+        """Start writing a snapshot if enough entries were applied since the last."""
         covered = node.snapshot.index if node.snapshot else 0
         due = state.index - covered >= self._snapshot_entries
         if not due or self._is_writing_snapshot:
@@ -86,7 +88,7 @@
         )
 
     def compact(self, node, snapshot):
-        """Drop what a new snapshot covers, but for a tail, from the log."""
+        """Remove the entries that a new snapshot covers, except the newest of them."""
         self._is_writing_snapshot = False
         if snapshot is None or (node.snapshot and node.snapshot.index > snapshot.index):
             return
@@ -103,12 +105,12 @@
             self.fail_stop(error)
 
     def fail_stop(self, error):
-        """End the process, since no promise may follow a failed write."""
+        """End the process, since it must not promise anything after a failed write."""
         detail = f"writing to {self._folder} failed: {error}"
         self._timeline.record("storage_failed", detail=detail)
-        logging.error("%s; the keeper ends and does not vote", detail)
+        logging.error("%s; the keeper exits and does not vote", detail)
         logging.flush()
-        # The process ends without clean-up; unwritten, its reason would be lost.
+        # The process ends without clean-up, so buffered events would be lost.
         self._timeline.flush()
         self._hooks.end_process(EXIT_STORAGE)
 
@@ -130,7 +132,7 @@
         )
 
     def _retry_while_full(self, write):
-        """Write, and wait while the disk is full; other failures are raised."""
+        """Call ``write`` until the disk has room for it; other errors are raised."""
         is_full = False
         while True:
             try:
@@ -141,16 +143,17 @@
                     is_full = True
                     self._metrics.gauge("disk_full", 1)
                     self._timeline.record("disk_full", detail=str(error))
-                    logging.error("disk full, neither voting nor writing: %s", error)
+                    logging.error("disk full; not voting until it has room: %s", error)
                 self._hooks.wait(DISK_FULL_RETRY_S)
         if is_full:
             self._metrics.gauge("disk_full", 0)
             self._timeline.record("disk_has_room")
 
     def _write_snapshot(self, index, term, members, state):
-        """Run beside the task, since a large state takes longer than a heartbeat.
+        """Write a snapshot; runs outside the task.
 
-        A snapshot that can't be written harms nobody: the log has everything still.
+        Writing a large state takes longer than a heartbeat interval. A failure loses
+        nothing, since the log still has all entries.
         """
         try:
             snapshot = snapshot_file.write(self._folder, index, term, members, state)
--- a/alderreach/ops/keeper/extension.py
+++ b/alderreach/ops/keeper/extension.py
@@ -1,26 +1,27 @@
-"""What a keeper offers to a part that decides by its log, and calls on it.
+"""The interface between a keeper and an extension that replicates its decisions.
 
-The part runs on the keeper's own task: what it decides, what is logged and what is
-applied follow each other in one thread, so a decision is never made on a state that
-another thread is changing. It has these methods, all called by the task:
+The extension runs on the keeper's task. Deciding, logging and applying take place in
+one thread, so a decision is never based on a state that another thread is changing. The
+task calls these methods of the extension:
 
-- ``handle(mail)``: take mail that is not the keeper's, from its own threads.
-- ``deliver(received)``: take a peer's message that is not the keeper's.
-- ``tick(now_ms)``: let time pass.
-- ``before_write(now_ms)``: propose what was decided since the last call.
-- ``on_applied(index, term)``: the entry at ``index`` is committed and applied.
+- ``handle(message)``: handle a message from one of the extension's own threads.
+- ``deliver(received)``: handle a message from another process that is not a keeper's.
+- ``tick(now_ms)``: do the work that is due.
+- ``before_write(now_ms)``: propose the decisions made since the last call.
+- ``on_applied(index, term)``: the entry at ``index`` was committed and applied.
 """
 
 import typing
 
 
 class Port(typing.NamedTuple):
-    """The keeper's side; all of it is for the task's thread but ``put``.
+    """What the keeper offers to the extension; only ``put`` is thread-safe.
 
-    ``propose(data)`` returns the index of the entry or None if it surely was not
-    appended. ``confirm(answer, refuse)`` calls one of them once a round of voters has
-    confirmed the leadership, or the leadership is lost. ``leader_address()`` is the
-    leader's peer address or empty.
+    ``get_state()`` returns the replicated state. ``propose(data)`` returns the index of
+    the entry, or None if it was certainly not appended. ``confirm(answer, refuse)``
+    calls ``answer`` once a round of voters has confirmed the leadership, or ``refuse``
+    if the leadership is lost first. ``leader_address()`` returns the leader's peer
+    address, or "" if it is unknown. ``put(message)`` sends the task a message.
     """
 
     node: typing.Any
--- a/alderreach/ops/keeper/followers.py
+++ b/alderreach/ops/keeper/followers.py
@@ -1,12 +1,13 @@
 """The entries and placers that follow this keeper's copy of the map.
 
-A follower that asked is sent what is new, in bounded chunks. Between its questions it
-is pushed each change as it commits; a push that gets lost leaves a gap, which the
-follower refuses and closes by its next question.
-
-A follower that was away for longer than tombstones are kept may hold items that were
-deleted meanwhile. It is sent its whole part of the map in one message, which replaces
-what it has; in chunks, a lost one would leave deleted items in force for ever.
+A follower that sends a Follow is sent all newer changes, in bounded chunks. Between two
+Follows it is pushed each change as it commits. If a push is lost, the follower rejects
+the next one because of the gap in versions, and its next Follow closes the gap.
+
+A follower that was disconnected for longer than tombstones are kept may hold items that
+were deleted meanwhile. It is sent its part of the map in full in one message, which
+replaces its copy. If the map were sent in chunks and one was lost, deleted items would
+stay in the copy for ever.
 """
 
 from alderreach.core import keeper_state
@@ -16,10 +17,10 @@
 
 
 class Follower:
-    """One boot of a process that follows: what it wants and what it was sent.
+    """One boot of a following process: the prefixes it follows and what it was sent.
 
-    ``began_empty`` is set where it followed this keeper from version 0 on and so holds
-    nothing that it could have missed the deletion of.
+    ``began_empty`` is True if it has followed this keeper since version 0, so it holds
+    no item whose deletion it could have missed.
     """
 
     def __init__(self, name, boot_id, address, prefixes):
@@ -34,7 +35,7 @@
 
 
 class Followers:
-    """All followers of a keeper; ``send`` takes an address and a message."""
+    """All followers of a keeper; messages are sent by ``send(address, message)``."""
 
     def __init__(self, send, items_per_push, follow_interval_ms):
         self._send = send
@@ -44,15 +45,15 @@
         self._pushed_version = 0
 
     def versions(self):
-        """The version each follower said it has, by process name."""
+        """The version that each follower last reported, by process name."""
         return {f.name: f.have_version for f in self._by_address.values()}
 
     def handle_follow(self, state, received, may_be_stale, now_ms):
         """Answer a Follow.
 
-        A keeper that may be stale answers only with something newer. To a follower that
-        has all it knows it stays silent, so that the follower turns to another keeper,
-        and says that it is not current if none answers.
+        A keeper that may be stale answers only if it has a newer version. Otherwise it
+        sends nothing, so that the follower asks another keeper, and reports that it is
+        not current if none answers.
         """
         address, message = received.reply_address, received.message
         follower = self._by_address.get(address)
@@ -71,7 +72,7 @@
         follower.sent_version = self._push(state, [follower], message.have_version)
 
     def push_changes(self, state):
-        """Push what was committed since the last call to all who are up to date."""
+        """Push the changes committed since the last call to all followers."""
         if state.version == self._pushed_version:
             return
         self._pushed_version = state.version
@@ -86,7 +87,7 @@
                 follower.sent_version = reached
 
     def forget_silent(self, now_ms):
-        """Drop followers that have not asked for long."""
+        """Remove followers that sent no Follow for ``FORGET_AFTER_INTERVALS``."""
         for address, follower in list(self._by_address.items()):
             if now_ms - follower.last_contact_ms > self._forget_ms:
                 del self._by_address[address]
--- a/alderreach/ops/keeper/joining.py
+++ b/alderreach/ops/keeper/joining.py
@@ -1,7 +1,7 @@
-"""How a keeper finds its cell, and how the leader takes keepers in and repairs.
+"""Discovery of the cell by a keeper, and admission and repair by the leader.
 
-``core/founding.py`` says when a cell may be founded, and why a keeper that lost its
-disk can't found a second one or vote as its old self.
+``core/founding.py`` explains when a cell may be founded, and why a keeper that lost its
+disk can neither found a second cell nor vote under its previous identity.
 """
 
 from alderreach.core import founding, membership, raft, raft_leader
@@ -9,21 +9,24 @@
 
 HELLO_INTERVAL_MS = 200
 DISCOVERY_AFTER_ELECTION_TIMEOUTS = 5
-# A voter silent for this long is replaced if there is a learner to take its place:
-# before the next loss is to be borne, which the users' platform sets at 4 s.
+# A voter that is silent for longer is replaced if a learner can take its place. The
+# replacement has to be done before the next loss, which the users' platform may cause
+# after 4 s.
 SILENT_VOTER_MS = 2500
-# A blank keeper is taken in within a second; one that still is not says so this often.
+# A blank keeper is normally admitted within a second. One that is not records an event
+# at this interval.
 NOT_ADMITTED_EVENT_MS = 5000
 
 
 class Joining:
-    """Hellos sent and heard, and the leader's repairs; used by the keeper's task.
-
-    ``addresses`` maps the names of the other keepers of the settings to addresses. In
-    an open cell they are only the seeds: whoever asks is taken in, also one that was
-    removed while it was silent, and a keeper is named by its address.
-    ``may_found_cell`` is False for a keeper that came later.
-    ``is_removed`` is set once a leader said that this identity is no member any more.
+    """Hellos of this keeper, and the leader's repairs; used by the keeper's task.
+
+    ``addresses`` maps the names of the other keepers in the settings to addresses. In
+    an open cell these are only the seeds: the leader admits every keeper that asks,
+    including one that was removed while it was silent, and a keeper's name is its
+    address. ``may_found_cell`` is False for a keeper added after the first start.
+    ``is_removed`` is True once a leader has answered that this identity is no longer a
+    member.
     """
 
     def __init__(
@@ -46,7 +49,7 @@
         self.is_removed = False
 
     def tick(self, now_ms):
-        """Seek the cell without a log or a leader; as leader, repair the membership."""
+        """As leader, repair the membership; without a cell or leader, send hellos."""
         if self._node.is_ready_leader:
             self._record_silent_voters(now_ms)
             self._repair(now_ms)
@@ -57,12 +60,14 @@
                 self._record_not_admitted(now_ms)
 
     def handle_hello(self, message, address):
-        """Answer a hello; as leader, take in a blank keeper of a name that is expected.
+        """Answer a hello; as leader, admit a blank keeper that has an expected name.
 
-        Only a leader may call a keeper removed: others may lack the newest membership.
+        Only a leader may answer that a keeper was removed, since the others may lack
+        the newest membership.
 
-        A blank keeper may know only seeds that do not lead by now, so a follower passes
-        the hello on to its leader; once, since a leader keeps it.
+        The seeds that a blank keeper knows may not include the leader, so in an open
+        cell a follower forwards the hello to its leader. The leader does not forward it
+        again.
         """
         node = self._node
         leads = node.is_ready_leader
@@ -87,7 +92,7 @@
             self._admit(message)
 
     def handle_reply(self, message, now_ms):
-        """Note what another keeper is."""
+        """Store another keeper's answer to a hello."""
         if message.to != self._node.identity:
             return
         self._hello_answers[message.name] = founding.HelloAnswer(message, now_ms)
@@ -96,7 +101,7 @@
             self._timeline.record("identity_removed", detail=message.to)
 
     def _needs_discovery(self, now_ms):
-        """Whether there is no cell, or no leader for much longer than an election."""
+        """Whether this keeper has no cell, or had no leader for several elections."""
         node = self._node
         if not node.members:
             return True
@@ -132,7 +137,7 @@
             self._send(address, hello)
 
     def _record_not_admitted(self, now_ms):
-        """Log that a blank keeper is not taken in; its old vote is missing."""
+        """Record that this blank keeper is not admitted, so its vote is missing."""
         if self._node.members or now_ms < self._next_not_admitted_ms:
             return
         self._next_not_admitted_ms = now_ms + NOT_ADMITTED_EVENT_MS
@@ -142,7 +147,7 @@
         self._timeline.record("not_taken_in", detail=detail)
 
     def _record_silent_voters(self, now_ms):
-        """A line for each voter that falls silent, and that is heard again."""
+        """Record an event for each voter that becomes silent or responds again."""
         node = self._node
         voters = {member.name for member in node.members if member.voter}
         silent = {
@@ -187,7 +192,7 @@
             self._timeline.record("members_repair", detail=detail)
 
     def _next_replacement(self, now_ms):
-        """In an open cell others take the places of voters that are silent for long."""
+        """The next change of an open cell that replaces a silent voter, or None."""
         return membership.next_replacement(
             self._node.members,
             2 * self._tolerated_losses + 1,
@@ -203,7 +208,7 @@
 
 
 def describe_members(members):
-    """A membership in one line for people."""
+    """Format a membership as one line of text."""
     return ", ".join(
         f"{member.name}{'' if member.voter else ' (learner)'}" for member in members
     )
--- a/alderreach/ops/keeper/log_file.py
+++ b/alderreach/ops/keeper/log_file.py
@@ -1,9 +1,9 @@
-"""The log on disk: one file of records, the keeper's identity first.
+"""The log on disk: one file of records; the first holds the keeper's identity.
 
-The identity stands in the same file as the log, term and vote, so that it can't outlive
-them: whoever loses the file comes back as someone else. Records are only added; a
-record whose entries start at or below an earlier one's end replaces those. Compaction
-writes a new file and renames it over the old.
+The identity is in the same file as the log, term and vote, so a keeper that loses the
+file also loses its identity and restarts with a new one. Records are only appended. A
+record whose entries start at or below the end of an earlier record replaces the
+overlapping entries. Compaction writes a new file and renames it over the old one.
 """
 
 import os
@@ -22,7 +22,7 @@
 
 
 class Header(typing.NamedTuple):
-    """The first record; entries start after the base."""
+    """The first record; entries start after ``base_index``."""
 
     format: int
     identity: str
@@ -31,7 +31,7 @@
 
 
 class Loaded(typing.NamedTuple):
-    """What a log file held; ``torn_bytes`` were cut off its end."""
+    """The content of a log file; ``torn_bytes`` were truncated from its end."""
 
     identity: str
     term: int
@@ -46,16 +46,16 @@
 
 
 def create(folder, identity):
-    """Make the file of a keeper that never ran; raises OSError."""
+    """Create the file of a new keeper; raises OSError."""
     header = _encode(Header(FORMAT, identity, 0, 0))
     files.replace_synced(pathlib.Path(folder) / FILE, records.frame(header))
 
 
 def load(folder) -> Result:
-    """Read the file and cut off a torn last record.
+    """Read the file and truncate a torn last record.
 
-    Returns ``Ok(Loaded)`` or ``Err(text)``; the header is written whole or not at all,
-    so a header that does not read is corrupt.
+    Returns ``Ok(Loaded)`` or ``Err(text)``. The header is written atomically, so an
+    unreadable header is corrupt rather than torn.
     """
     path = pathlib.Path(folder) / FILE
     scanned = records.scan(path)
@@ -68,20 +68,20 @@
         header = _decode_header(payloads[0])
         writes = [_decode_write(payload) for payload in payloads[1:]]
     except msgspec.MsgspecError as error:
-        return Err(f"{path}: a record holds something else: {error}")
+        return Err(f"{path}: a record has unexpected content: {error}")
     if header.format != FORMAT:
-        return Err(f"{path}: format {header.format} is not known")
+        return Err(f"{path}: format {header.format} is not supported")
     if end < size:
         _truncate(path, end)
     return Ok(_replay(header, writes, size - end))
 
 
 class LogFile:
-    """The file open for writing; any ``OSError`` it raises but DiskFull is final.
+    """The file, open for writing; any ``OSError`` except DiskFull is final.
 
     After a failed sync the kernel may have dropped the bytes, and a second sync would
-    report success: the caller must stop answering, not try again. Of a record for which
-    the disk had no room nothing is in the file, so that one may be written again.
+    report success, so the caller must stop answering and must not retry. After DiskFull
+    the file contains no part of the record, so the write may be retried.
     """
 
     def __init__(self, folder, identity):
@@ -95,7 +95,7 @@
         os.fsync(self._file.fileno())
 
     def rewrite(self, log, term, voted_for):
-        """Replace the file by one that holds just this log."""
+        """Replace the file by one that contains only this log."""
         header = Header(FORMAT, self._identity, log.base_index, log.base_term)
         write = raft_state.Write(term, voted_for, log.base_index + 1, log.entries)
         data = records.frame(_encode(header)) + records.frame(_encode(write))
@@ -104,7 +104,7 @@
         self._file = self._path.open("ab", buffering=0)
 
     def close(self):
-        """Close the file; all in it is synced already."""
+        """Close the file, which is already synced."""
         self._file.close()
 
 
--- a/alderreach/ops/keeper/records.py
+++ b/alderreach/ops/keeper/records.py
@@ -1,12 +1,12 @@
-"""Checksummed records in files, and how a torn end is told from corruption.
+"""Checksummed records in files, and the distinction of torn writes from corruption.
 
-A record is a mark, a length, a checksum over both length and payload, and the payload.
-Each synced write of the log is one record. So after a crash only the last record can be
-incomplete: it was never acknowledged, and is cut off. A record that does not check
-while a later one does was whole once and has been damaged since; what it promised may
-have been acknowledged, and no one may pretend otherwise.
+A record consists of magic bytes, a length, a checksum over length and payload, and the
+payload. Each synced write of the log is one record, so after a crash only the last
+record can be incomplete. It was never acknowledged, and is truncated. An invalid record
+that is followed by a valid one was once complete and was damaged later. Its content may
+have been acknowledged, so it must not be dropped.
 
-Damage to the very last record looks like a torn write and can't be told from it.
+Damage to the last record can't be distinguished from a torn write.
 """
 
 import struct
@@ -20,7 +20,7 @@
 
 
 class Scan(typing.NamedTuple):
-    """What a file holds: payloads, where the whole ones end, and its size."""
+    """A file's payloads, the end of its last complete record, and its size."""
 
     payloads: list
     end: int
@@ -28,12 +28,12 @@
 
 
 def frame(payload):
-    """The bytes of one record."""
+    """Return the bytes of one record."""
     return HEADER.pack(MAGIC, len(payload), _checksum(payload)) + payload
 
 
 def scan(path) -> Result:
-    """Read a file: ``Ok(Scan)``, or ``Err(text)`` naming file and offset of damage.
+    """Read a file: ``Ok(Scan)``, or ``Err(text)`` with the offset of the damage.
 
     ``end`` is below ``size`` if the last record is torn.
     """
--- a/alderreach/ops/keeper/reporting.py
+++ b/alderreach/ops/keeper/reporting.py
@@ -1,4 +1,4 @@
-"""What a keeper tells operators of itself: its status and its gauges."""
+"""A keeper's status and gauges, and its events at startup."""
 
 from absl import logging
 
@@ -9,7 +9,7 @@
 
 
 def status_of(node, state, versions, ready, is_removed):
-    """The ``RoleStatus``; ``versions`` maps followers to the version each has."""
+    """Return the ``RoleStatus``; ``versions`` maps followers to their versions."""
     voters = len(membership.voters(node.members))
     detail = {
         "term": node.term,
@@ -29,9 +29,9 @@
 
 
 def record_opened_folder(timeline, opened):
-    """Tell the time line what the data folder held, and whether its log was torn."""
+    """Record in the time line what the data folder contained, and if it was torn."""
     if opened.torn_bytes:
-        detail = f"a torn last record of {opened.torn_bytes} bytes was cut off"
+        detail = f"a torn last record of {opened.torn_bytes} bytes was removed"
         timeline.record("log_tail_cut", detail=detail)
         logging.warning("%s", detail)
     kind = "identity_made" if opened.is_new else "log_read"
@@ -40,7 +40,7 @@
 
 
 def set_gauges(metrics, status):
-    """Show the status's main counts at /metrics."""
+    """Set the gauges of the status's main counts."""
     for name in GAUGES:
         metrics.gauge(f"keeper_{name}", status.detail[name])
 
--- a/alderreach/ops/keeper/requests.py
+++ b/alderreach/ops/keeper/requests.py
@@ -1,8 +1,9 @@
-"""Requests a keeper was sent: what is appended, what waits, and how each is answered.
+"""Requests to a keeper: which are appended, which wait, and how each is answered.
 
-``not_leader`` and ``no_quorum`` are said only of what surely was not appended. Once an
-entry is in the log, its request is answered by its result, or by ``uncertain`` when the
-leader stops leading before it is committed: another leader may still commit it.
+``not_leader`` and ``no_quorum`` are only used for requests that were certainly not
+appended. Once an entry is in the log, its request is answered by its result, or by
+``uncertain`` if the leader loses its leadership before the entry is committed, since
+another leader may still commit it.
 """
 
 import typing
@@ -22,14 +23,14 @@
 
 
 class Requester(typing.NamedTuple):
-    """Who waits for a reply."""
+    """The sender of a request that waits for a reply."""
 
     address: str
     request_id: str
 
 
 class _Read(typing.NamedTuple):
-    """A read that waits for its round and for the entries it must see."""
+    """A read that waits for a round of voters and for the entries it has to see."""
 
     round: int
     index: int
@@ -40,8 +41,8 @@
 class Requests:
     """Pending requests of one keeper; used by its task only.
 
-    ``get_state`` returns the state, which a snapshot replaces. While
-    ``is_handing_over`` is set nothing new is taken.
+    ``get_state`` returns the state, which an installed snapshot replaces. While
+    ``is_handing_over`` is True, new requests are refused.
     """
 
     def __init__(self, node, get_state, send, clock, durations):
@@ -58,7 +59,7 @@
         self.is_handing_over = False
 
     def handle(self, message, address):
-        """Take a KeeperRequest or a RenewOwnership."""
+        """Handle a KeeperRequest or a RenewOwnership."""
         if isinstance(message, keeper.RenewOwnership):
             self._renew(message, address)
             return
@@ -69,14 +70,14 @@
             self._handle_as_leader(message, requester)
 
     def start_term(self):
-        """Begin a term of leadership, if one began since the last call."""
+        """Start a term of leadership if this node was elected since the last call."""
         if self._node.role == raft.LEADER and self._term != self._node.term:
             self._fail_pending()
             self._term = self._node.term
             self._leases = owner_leases.Leases(self._node.elected_ms)
 
     def on_applied(self, index, term, result):
-        """Answer who waits for the entry at ``index``."""
+        """Answer the request that waits for the entry at ``index``."""
         for domain, grant_index in list(self._leases.pending_grants.items()):
             if grant_index <= index:
                 del self._leases.pending_grants[domain]
@@ -90,7 +91,7 @@
             self._reply(requester, "ok", codec.pack(result))
 
     def resolve_reads(self, applied_index):
-        """Answer reads that are confirmed; give up all if leadership was lost."""
+        """Answer confirmed reads; fail all pending requests if leadership was lost."""
         if self._node.role != raft.LEADER or self._term != self._node.term:
             self._fail_pending()
             return
@@ -138,10 +139,10 @@
         self._in_flight.add(requester.request_id)
 
     def _grant(self, requester, command, data):
-        """Log a grant, or refuse it while the present owner's lease can still run.
+        """Log a grant, or refuse it while the current owner's lease may still be valid.
 
-        Before the first entry of its term is committed the leader does not know which
-        owner is in force.
+        Before the first entry of its term is committed, the leader does not know which
+        owner is current.
         """
         if not self._node.is_ready_leader:
             self._reply(requester, "no_quorum")
@@ -188,7 +189,7 @@
     def confirm(self, answer, refuse):
         """Call ``answer`` once a round of voters has confirmed this leadership.
 
-        ``refuse`` is called instead if the leadership is lost before that.
+        If the leadership is lost first, ``refuse`` is called instead.
         """
         node = self._node
         index = max(node.commit_index, node.first_index_of_term)
@@ -197,7 +198,7 @@
         )
 
     def _renew(self, message, address):
-        """Confirm an owner's lease by a round, and remember when it was asked for."""
+        """Renew an owner's lease after a round of voters; record the request's time."""
         state = self._get_state()
         owner = keeper_state.owner_of(state, message.failure_domain)
 
@@ -253,7 +254,7 @@
 
 
 def members_result(members):
-    """A membership as a result."""
+    """Return a membership as the result of an accepted change."""
     return keeper.MembersResult("accepted", "", members)
 
 
--- a/alderreach/ops/keeper/service.py
+++ b/alderreach/ops/keeper/service.py
@@ -1,8 +1,8 @@
 """The keeper's daemon: one task that owns the protocol's state, its files and requests.
 
-Mail is handled as it comes, and the first of a batch puts a flush behind the mail that
-is already there. A flush writes and syncs once for all of it, then sends what had to
-wait for the sync: acknowledgements, votes, replies.
+The task handles messages in order. The first message of a batch queues a flush behind
+the messages that already wait. A flush writes and syncs once for all of them, and then
+sends the messages that had to wait for the sync: acknowledgements, votes and replies.
 """
 
 import os
@@ -44,7 +44,7 @@
 
 
 class Hooks(typing.NamedTuple):
-    """What a test replaces: lots, work beside the task, the process's end, waits."""
+    """Functions that tests replace: randomness, background work, exit and waits."""
 
     random: random.Random
     run_in_background: typing.Callable
@@ -53,7 +53,7 @@
 
 
 def system_hooks():
-    """What a daemon uses."""
+    """The hooks of a daemon."""
     return Hooks(random.Random(), _run_on_thread, os._exit, time.sleep)
 
 
@@ -62,12 +62,12 @@
 
 
 def build(context):
-    """Open the data folder and start the keeper; exits if the folder is damaged."""
+    """Open the data folder and start the keeper; exits if the folder is refused."""
     return Keeper(context, open_folder(context), system_hooks()).start()
 
 
 def open_folder(context):
-    """Read the data folder; exits if it is damaged."""
+    """Read the data folder; exits if it is refused."""
     opened = storage.open_folder(context.settings.process.data_folder, context.stack)
     if isinstance(opened, Err):
         context.timeline.record("storage_refused", detail=opened.err_value)
@@ -77,11 +77,11 @@
 
 
 class Keeper:
-    """The role object; all but ``deliver``, ``status`` and ``drain`` is its task's.
+    """The role object; other threads may call ``deliver``, ``status`` and ``drain``.
 
-    ``extend`` makes the part that decides by this keeper's log from an
-    ``extension.Port``; ``seed_addresses`` says that keepers unknown to the settings may
-    join, and ``may_found_cell`` that this one may found the cell.
+    ``make_extension`` makes the extension of this keeper from an ``extension.Port``. If
+    ``seed_addresses`` is given, the cell is open: keepers that are not in the settings
+    may join. ``may_found_cell`` allows this keeper to found the cell.
     """
 
     def __init__(
@@ -148,15 +148,15 @@
         self._disk.close()
 
     def deliver(self, received):
-        """Take a peer's message."""
+        """Queue a message from another process."""
         self._task.put(received)
 
     def status(self):
-        """The last published status."""
+        """Return the last published status."""
         return self._status
 
     def drain(self):
-        """Hand leadership over; wait for that an election timeout at most."""
+        """Hand leadership over; waits for one election timeout at most."""
         timeout_ms = self._context.settings.timing.election_timeout_ms
         deadline_ms = self._clock.monotonic_ms() + timeout_ms
         self._task.put(TRANSFER)
@@ -239,7 +239,10 @@
             self._extension.deliver(received)
 
     def _step(self, message, address, now_ms):
-        """A blank voter answers candidates that its own log does not name yet."""
+        """Pass a message to the protocol, and remember the sender's address.
+
+        A blank voter has to answer candidates that its own log does not contain yet.
+        """
         sender = getattr(message, "candidate", "") or getattr(message, "leader", "")
         if sender:
             self._reply_addresses[sender] = address
@@ -269,10 +272,10 @@
         self._publish(now_ms)
 
     def _flush(self):
-        """Sync once for all that was handled since the last flush; then send.
+        """Sync once for all messages handled since the last flush, then send.
 
-        A leader's entries may leave before its own copy is synced, but not before its
-        term is: restarted, it could else lead the same term twice.
+        A leader may send entries before its own copy is synced, but not before its term
+        is synced: after a restart it could otherwise lead the same term twice.
         """
         self._is_flush_queued = False
         node = self._node
@@ -298,7 +301,7 @@
         messages.clear()
 
     def _address_of(self, identity):
-        """Where a keeper is reached: as the settings say, else as the log says."""
+        """A keeper's address from the settings, else from the log or its messages."""
         member = membership.find(self._node.members, identity)
         if member is None:
             return self._reply_addresses.get(identity)
@@ -330,7 +333,7 @@
         return keeper_state.apply(self._state, command, index, entry.wall_ms)
 
     def _start_term_if_elected(self):
-        """Log the first entry of a new term, by which older ones get committed too."""
+        """Append the first entry of a new term, which also commits older entries."""
         node = self._node
         if node.role != raft.LEADER or node.log.last_index >= node.first_index_of_term:
             return
@@ -341,10 +344,11 @@
         self._requests.start_term()
 
     def _hand_over_leadership(self, now_ms):
-        """Ask another to lead once all that was taken is committed.
+        """Transfer leadership once all accepted requests are committed.
 
-        Asked earlier, requests under way would be answered ``uncertain``. The second
-        call would make the successor seek a second election; so there is only one.
+        An earlier transfer would leave requests in progress ``uncertain``. There is
+        only one transfer, since a second one would make the successor start another
+        election.
         """
         node, is_requested = self._node, self._requests.is_handing_over
         is_leader = node.role == raft.LEADER and not self._has_handed_over
@@ -352,7 +356,7 @@
             self._has_handed_over = raft_leader.transfer(node, now_ms)
 
     def _is_current(self, now_ms):
-        """Whether a leader was heard lately, or this is one with a quorum."""
+        """Whether this leads with a quorum, or had recent contact with a leader."""
         node = self._node
         if node.role == raft.LEADER:
             return node.is_ready_leader and raft_leader.has_quorum(node, now_ms)
--- a/alderreach/ops/keeper/snapshot_file.py
+++ b/alderreach/ops/keeper/snapshot_file.py
@@ -1,7 +1,7 @@
-"""Snapshots on disk: a header, the state's records and an end mark.
+"""Snapshots on disk: a header, the state's records and an end marker.
 
-A snapshot is written beside the one in force and renamed over it once synced. It is
-sent to other keepers as the bytes of the file, and checked whole before it counts.
+A snapshot is written to a second file, synced, and renamed over the current one. Other
+keepers are sent the bytes of the file, and check the complete file before they use it.
 """
 
 import os
@@ -33,16 +33,16 @@
 
 
 class Loaded(typing.NamedTuple):
-    """A snapshot in force, and the state it holds."""
+    """The current snapshot and the state it contains."""
 
     snapshot: raft_state.Snapshot
     state: typing.Any
 
 
 def write(folder, index, term, members, state):
-    """Write, sync and put in force a snapshot of an unchanging state; raises OSError.
+    """Write and sync a snapshot and make it the current one; raises OSError.
 
-    Any thread may call it.
+    Any thread may call it; ``state`` must not change meanwhile.
     """
     path = pathlib.Path(folder) / NEW_FILE
     with path.open("wb") as file:
@@ -58,7 +58,7 @@
 
 
 def load(folder) -> Result:
-    """Read the snapshot in force: ``Ok(Loaded)``, ``Ok(None)`` or ``Err(text)``."""
+    """Read the current snapshot: ``Ok(Loaded)``, ``Ok(None)`` or ``Err(text)``."""
     path = pathlib.Path(folder) / FILE
     if not path.exists():
         return Ok(None)
@@ -66,9 +66,9 @@
 
 
 class Sink:
-    """Takes a snapshot that another keeper sends; see ``raft_state.Node``.
+    """Receives a snapshot that another keeper sends; see ``raft_state.Node``.
 
-    ``when_room(write)`` calls ``write`` until the disk has room for it.
+    ``retry_while_full(write)`` calls ``write`` until the disk has room for it.
     """
 
     def __init__(self, folder, retry_while_full):
@@ -78,18 +78,18 @@
         self.loaded = None
 
     def begin(self, _index, _term):
-        """Start over with an empty file."""
+        """Start a new transfer with an empty file."""
         self.close()
         self._file = (self._folder / PART_FILE).open("wb", buffering=0)
 
     def write(self, data):
-        """Add the next bytes."""
+        """Append the next bytes."""
         self._retry_while_full(lambda: files.append_whole(self._file, data))
 
     def finish(self):
-        """Sync and check the file and put it in force; None if it is not whole.
+        """Sync and check the file and make it current; None if it is incomplete.
 
-        What it held is left in ``loaded``.
+        ``loaded`` then has its content.
         """
         path = self._folder / PART_FILE
         os.fsync(self._file.fileno())
@@ -101,7 +101,7 @@
         return self.loaded.snapshot
 
     def close(self):
-        """Give up a snapshot that is not whole."""
+        """Close the file; an incomplete snapshot is abandoned."""
         if self._file is not None:
             self._file.close()
             self._file = None
@@ -123,14 +123,14 @@
         header = msgspec.msgpack.decode(payloads[0], type=Header)
         state = keeper_dump.load(payloads[1:-1])
     except msgspec.MsgspecError as error:
-        return Err(f"{path}: a record holds something else: {error}")
+        return Err(f"{path}: a record has unexpected content: {error}")
     if header.format != FORMAT:
-        return Err(f"{path}: format {header.format} is not known")
+        return Err(f"{path}: format {header.format} is not supported")
     return Ok(Loaded(_open_snapshot(path, header), state))
 
 
 def _open_snapshot(path, header):
-    """A Snapshot that stays readable after a newer one took the file's name."""
+    """Return a Snapshot that stays readable after a newer one replaced the file."""
     file = path.open("rb")
     size = os.fstat(file.fileno()).st_size
 
--- a/alderreach/ops/keeper/storage.py
+++ b/alderreach/ops/keeper/storage.py
@@ -1,4 +1,4 @@
-"""A keeper's data folder as a whole: identity, log and snapshot that fit together."""
+"""Opening a keeper's data folder: identity, log and snapshot must be consistent."""
 
 import fcntl
 import pathlib
@@ -14,7 +14,7 @@
 
 
 class OpenedFolder(typing.NamedTuple):
-    """What the folder held, checked."""
+    """The checked content of a data folder."""
 
     identity: str
     term: int
@@ -27,10 +27,10 @@
 
 
 def open_folder(folder, stack) -> Result:
-    """Read a data folder, or begin one: ``Ok(Opened)`` or ``Err(text)``.
+    """Read or create a data folder: ``Ok(OpenedFolder)`` or ``Err(text)``.
 
-    A folder that lost only one of its files is refused: with the log gone the identity
-    is gone, and the snapshot belongs to a keeper that may have voted.
+    A folder that lost only one of its files is refused: without the log the identity is
+    lost, and the snapshot belongs to a keeper that may have voted.
     """
     folder = pathlib.Path(folder)
     locked = _lock(folder, stack)
@@ -41,7 +41,7 @@
         return snapshot
     is_new = not (folder / log_file.FILE).exists()
     if is_new and snapshot.ok_value is not None:
-        return Err(f"{folder / log_file.FILE}: is missing but a snapshot is there")
+        return Err(f"{folder / log_file.FILE}: is missing, but a snapshot exists")
     if is_new:
         log_file.create(folder, uuid.uuid4().hex)
     loaded = log_file.load(folder)
@@ -51,7 +51,7 @@
 
 
 def _lock(folder, stack):
-    """Two processes that wrote one log would each sync the other's torn records."""
+    """Lock the folder; two writers of one log would sync each other's torn records."""
     file = stack.enter_context((folder / LOCK_FILE).open("w"))
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -70,7 +70,7 @@
             f"but the log starts after {log.base_index}"
         )
     if snapshot and log.term_at(covered) != snapshot.term:
-        # The process ended between installing a snapshot and starting its log anew.
+        # The process ended after it installed a snapshot and before it reset its log.
         log.reset(covered, snapshot.term)
     state = loaded_snapshot.state if loaded_snapshot else keeper_state.State()
     return Ok(
