--- a/alderreach/ops/keeper/extension.py
+++ b/alderreach/ops/keeper/extension.py
@@ -5,7 +5,7 @@
 task calls these methods of the extension:
 
 - ``handle(message)``: handle a message from one of the extension's own threads.
-- ``deliver(received)``: handle a message from another process that is not a keeper's.
+- ``deliver(received)``: handle a peer's message that the keeper does not handle itself.
 - ``tick(now_ms)``: do the work that is due.
 - ``before_write(now_ms)``: propose the decisions made since the last call.
 - ``on_applied(index, term)``: the entry at ``index`` was committed and applied.
--- a/alderreach/ops/keeper/joining.py
+++ b/alderreach/ops/keeper/joining.py
@@ -10,8 +10,8 @@
 HELLO_INTERVAL_MS = 200
 DISCOVERY_AFTER_ELECTION_TIMEOUTS = 5
 # A voter that is silent for longer is replaced if a learner can take its place. The
-# replacement has to be done before the next loss, which the users' platform may cause
-# after 4 s.
+# replacement has to be complete before the cell must tolerate the next loss; the users'
+# platform sets this interval to 4 s.
 SILENT_VOTER_MS = 2500
 # A blank keeper is normally admitted within a second. One that is not records an event
 # at this interval.
--- a/alderreach/ops/keeper/log_file.py
+++ b/alderreach/ops/keeper/log_file.py
@@ -91,7 +91,7 @@
 
     def append(self, write):
         """Write and sync one ``raft_state.Write``."""
-        files.append_whole(self._file, records.frame(_encode(write)))
+        files.append_all(self._file, records.frame(_encode(write)))
         os.fsync(self._file.fileno())
 
     def rewrite(self, log, term, voted_for):
--- a/alderreach/ops/keeper/requests.py
+++ b/alderreach/ops/keeper/requests.py
@@ -90,7 +90,7 @@
         else:
             self._reply(requester, "ok", codec.pack(result))
 
-    def resolve_reads(self, applied_index):
+    def resolve_pending(self, applied_index):
         """Answer confirmed reads; fail all pending requests if leadership was lost."""
         if self._node.role != raft.LEADER or self._term != self._node.term:
             self._fail_pending()
--- a/alderreach/ops/keeper/service.py
+++ b/alderreach/ops/keeper/service.py
@@ -290,7 +290,7 @@
         self._send_all(node.presync_outbox)
         self._send_all(node.outbox)
         self._apply()
-        self._requests.resolve_reads(self._state.index)
+        self._requests.resolve_pending(self._state.index)
         self._disk.snapshot_if_due(node, self._state)
 
     def _send_all(self, messages):
--- a/alderreach/ops/keeper/snapshot_file.py
+++ b/alderreach/ops/keeper/snapshot_file.py
@@ -84,7 +84,7 @@
 
     def write(self, data):
         """Append the next bytes."""
-        self._retry_while_full(lambda: files.append_whole(self._file, data))
+        self._retry_while_full(lambda: files.append_all(self._file, data))
 
     def finish(self):
         """Sync and check the file and make it current; None if it is incomplete.
--- a/alderreach/utils/files.py
+++ b/alderreach/utils/files.py
@@ -26,10 +26,11 @@
         os.close(descriptor)
 
 
-def append_whole(file, data):
-    """Append all of ``data`` to an unbuffered file, or none of it.
+def append_all(file, data):
+    """Append all of ``data`` to an unbuffered file.
 
-    Raises DiskFull if there is no room, and OSError if the disk fails otherwise.
+    If there is no room, the file keeps none of it and DiskFull is raised. Any other
+    failure of the disk raises OSError.
     """
     size = file.seek(0, os.SEEK_END)
     remaining = data
@@ -52,7 +53,7 @@
     path = pathlib.Path(path)
     temporary = path.with_name(path.name + ".new")
     with temporary.open("wb", buffering=0) as file:
-        append_whole(file, data)
+        append_all(file, data)
         os.fsync(file.fileno())
     temporary.replace(path)
     sync_folder(path.parent)
--- a/alderreach/utils/http_connection.py
+++ b/alderreach/utils/http_connection.py
@@ -40,7 +40,7 @@
         self._deadline_ms = 0
         self.may_read = True
 
-    def start_deadline(self, duration_ms):
+    def start_timeout(self, duration_ms):
         """Set the deadline of all following reads to ``duration_ms`` from now."""
         self._deadline_ms = self._clock.monotonic_ms() + duration_ms
 
@@ -190,7 +190,7 @@
 
     def communicate(self):
         """Serve one request; returns whether the connection stays open."""
-        self._timed_socket.start_deadline(self._timeout_ms)
+        self._timed_socket.start_timeout(self._timeout_ms)
         self.wfile.start_answer()
         stays_open = super().communicate()
         if not stays_open and self.must_linger:
