--- a/alderreach/ops/keeper/log_file.py
+++ b/alderreach/ops/keeper/log_file.py
@@ -68,9 +68,9 @@
         header = _decode_header(payloads[0])
         writes = [_decode_write(payload) for payload in payloads[1:]]
     except msgspec.MsgspecError as error:
-        return Err(f"{path}: a record has unexpected content: {error}")
+        return Err(f"{path}: a record holds something else: {error}")
     if header.format != FORMAT:
-        return Err(f"{path}: format {header.format} is not supported")
+        return Err(f"{path}: format {header.format} is not known")
     if end < size:
         _truncate(path, end)
     return Ok(_replay(header, writes, size - end))
--- a/alderreach/ops/keeper/reporting.py
+++ b/alderreach/ops/keeper/reporting.py
@@ -31,7 +31,7 @@
 def record_opened_folder(timeline, opened):
     """Record in the time line what the data folder contained, and if it was torn."""
     if opened.torn_bytes:
-        detail = f"a torn last record of {opened.torn_bytes} bytes was removed"
+        detail = f"a torn last record of {opened.torn_bytes} bytes was cut off"
         timeline.record("log_tail_cut", detail=detail)
         logging.warning("%s", detail)
     kind = "identity_made" if opened.is_new else "log_read"
--- a/alderreach/ops/keeper/snapshot_file.py
+++ b/alderreach/ops/keeper/snapshot_file.py
@@ -123,9 +123,9 @@
         header = msgspec.msgpack.decode(payloads[0], type=Header)
         state = keeper_dump.load(payloads[1:-1])
     except msgspec.MsgspecError as error:
-        return Err(f"{path}: a record has unexpected content: {error}")
+        return Err(f"{path}: a record holds something else: {error}")
     if header.format != FORMAT:
-        return Err(f"{path}: format {header.format} is not supported")
+        return Err(f"{path}: format {header.format} is not known")
     return Ok(Loaded(_open_snapshot(path, header), state))
 
 
--- a/alderreach/ops/keeper/storage.py
+++ b/alderreach/ops/keeper/storage.py
@@ -41,7 +41,7 @@
         return snapshot
     is_new = not (folder / log_file.FILE).exists()
     if is_new and snapshot.ok_value is not None:
-        return Err(f"{folder / log_file.FILE}: is missing, but a snapshot exists")
+        return Err(f"{folder / log_file.FILE}: is missing but a snapshot is there")
     if is_new:
         log_file.create(folder, uuid.uuid4().hex)
     loaded = log_file.load(folder)
