--- a/alderreach/ops/keeper/reporting.py
+++ b/alderreach/ops/keeper/reporting.py
@@ -1,4 +1,4 @@
-"""What a keeper tells operators of itself: its status and its gauges."""
+"""A keeper's status and gauges, and its events at startup."""
 
 from absl import logging
 
@@ -9,7 +9,7 @@
 
 
 def status_of(node, state, versions, ready, is_removed):
-    """The ``RoleStatus``; ``versions`` maps followers to the version each has."""
+    """Return the ``RoleStatus``; ``versions`` maps followers to their versions."""
     voters = len(membership.voters(node.members))
     detail = {
         "term": node.term,
@@ -24,12 +24,12 @@
     }
     for name, version in versions.items():
         detail[f"version.{name}"] = version
-    word = _state_word(node, is_removed)
-    return daemon.RoleStatus(state.version, word, ready, detail)
+    state_name = _state_name(node, is_removed)
+    return daemon.RoleStatus(state.version, state_name, ready, detail)
 
 
-def record_opening(timeline, opened):
-    """Tell the time line what the data folder held, and whether its log was torn."""
+def record_opened_folder(timeline, opened):
+    """Record in the time line what the data folder contained, and if it was torn."""
     if opened.torn_bytes:
         detail = f"a torn last record of {opened.torn_bytes} bytes was cut off"
         timeline.record("log_tail_cut", detail=detail)
@@ -40,12 +40,12 @@
 
 
 def set_gauges(metrics, status):
-    """Show the status's main counts at /metrics."""
+    """Set the gauges of the status's main counts."""
     for name in GAUGES:
         metrics.gauge(f"keeper_{name}", status.detail[name])
 
 
-def _state_word(node, is_removed):
+def _state_name(node, is_removed):
     if is_removed:
         return "removed"
     return node.role if node.is_voter else "learner"
--- a/alderreach/ops/keeper/storage.py
+++ b/alderreach/ops/keeper/storage.py
@@ -1,4 +1,4 @@
-"""A keeper's data folder as a whole: identity, log and snapshot that fit together."""
+"""Opening a keeper's data folder: identity, log and snapshot must be consistent."""
 
 import fcntl
 import pathlib
@@ -13,8 +13,8 @@
 LOCK_FILE = "lock"
 
 
-class Opened(typing.NamedTuple):
-    """What the folder held, checked."""
+class OpenedFolder(typing.NamedTuple):
+    """The checked content of a data folder."""
 
     identity: str
     term: int
@@ -27,10 +27,10 @@
 
 
 def open_folder(folder, stack) -> Result:
-    """Read a data folder, or begin one: ``Ok(Opened)`` or ``Err(text)``.
+    """Read or create a data folder: ``Ok(OpenedFolder)`` or ``Err(text)``.
 
-    A folder that lost only one of its files is refused: with the log gone the identity
-    is gone, and the snapshot belongs to a keeper that may have voted.
+    A folder that lost only one of its files is refused: without the log the identity is
+    lost, and the snapshot belongs to a keeper that may have voted.
     """
     folder = pathlib.Path(folder)
     locked = _lock(folder, stack)
@@ -47,11 +47,11 @@
     loaded = log_file.load(folder)
     if isinstance(loaded, Err):
         return loaded
-    return _fit(folder, loaded.ok_value, snapshot.ok_value, is_new)
+    return _combine(folder, loaded.ok_value, snapshot.ok_value, is_new)
 
 
 def _lock(folder, stack):
-    """Two processes that wrote one log would each sync the other's torn records."""
+    """Lock the folder; two writers of one log would sync each other's torn records."""
     file = stack.enter_context((folder / LOCK_FILE).open("w"))
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -60,9 +60,9 @@
     return Ok(None)
 
 
-def _fit(folder, loaded, kept, is_new):
+def _combine(folder, loaded, loaded_snapshot, is_new):
     log = loaded.log
-    snapshot = kept.snapshot if kept else None
+    snapshot = loaded_snapshot.snapshot if loaded_snapshot else None
     covered = snapshot.index if snapshot else 0
     if covered < log.base_index:
         return Err(
@@ -70,11 +70,11 @@
             f"but the log starts after {log.base_index}"
         )
     if snapshot and log.term_at(covered) != snapshot.term:
-        # The process ended between installing a snapshot and starting its log anew.
+        # The process ended after it installed a snapshot and before it reset its log.
         log.reset(covered, snapshot.term)
-    state = kept.state if kept else keeper_state.State()
+    state = loaded_snapshot.state if loaded_snapshot else keeper_state.State()
     return Ok(
-        Opened(
+        OpenedFolder(
             loaded.identity,
             loaded.term,
             loaded.voted_for,
--- a/alderreach/platform/targets.py
+++ b/alderreach/platform/targets.py
@@ -57,7 +57,7 @@
     except http_client.NotSentError as error:
         return orders.OrderResult(_not_connected(error), detail=str(error))
     except (http_client.UnansweredError, wire.MalformedError) as error:
-        is_connection_lost = isinstance(error, http_client.BrokenOffError)
+        is_connection_lost = isinstance(error, http_client.ConnectionLostError)
         return orders.OrderResult(
             orders.UNKNOWN, detail=str(error), lost_connection=is_connection_lost
         )
