--- a/alderreach/decisions/admission.py
+++ b/alderreach/decisions/admission.py
@@ -30,13 +30,13 @@
     is_in_time: bool
 
 
-def estimate(ask, backlog, run_ms, own_weight, slots, free_slots, now_ms):
+def estimate(request, backlog, run_ms, own_weight, slots, free_slots, now_ms):
     """Estimate how long a new request would wait, and whether it could still run.
 
     >>> import types
     >>> from alderreach.decisions import ordering
-    >>> ask = types.SimpleNamespace(deadline_ms=100)
-    >>> estimate(ask, ordering.Backlog(0, 400, 2), 10, 1, 4, 0, 0)
+    >>> request = types.SimpleNamespace(deadline_ms=100)
+    >>> estimate(request, ordering.Backlog(0, 400, 2), 10, 1, 4, 0, 0)
     Estimate(wait_ms=2.5, is_in_time=True)
     """
     slots = max(1, slots)
@@ -44,7 +44,7 @@
     ahead_ms = min(backlog.total_ms, fair_ms)
     residual_ms = 0 if free_slots > 0 else run_ms / slots
     wait_ms = ahead_ms / slots + residual_ms
-    left_ms = ask.deadline_ms - now_ms - wait_ms
+    left_ms = request.deadline_ms - now_ms - wait_ms
     return Estimate(wait_ms, left_ms >= RUN_MARGIN * run_ms)
 
 
@@ -66,7 +66,7 @@
     return own_ms < heaviest_ms
 
 
-def is_hopeless(ask, run_ms, now_ms):
+def is_hopeless(request, run_ms, now_ms):
     """Whether a waiting request would miss its deadline even if it were sent now."""
-    left_ms = ask.deadline_ms - now_ms
+    left_ms = request.deadline_ms - now_ms
     return left_ms <= 0 or left_ms < run_ms
--- a/alderreach/decisions/ordering.py
+++ b/alderreach/decisions/ordering.py
@@ -72,7 +72,7 @@
 class Waiting(typing.NamedTuple):
     """A waiting request; ``cost_ms`` is the slot time it is expected to take."""
 
-    ask: typing.Any
+    request: typing.Any
     avoided: tuple[str, ...]
     cost_ms: float
 
@@ -110,8 +110,8 @@
 
     def push(self, waiting, first=False):
         """Add a request; ``first`` puts one that waited before at the front."""
-        group = self._classes[is_urgent(waiting.ask)]
-        queue = group.queues.setdefault(waiting.ask.team, collections.deque())
+        group = self._classes[is_urgent(waiting.request)]
+        queue = group.queues.setdefault(waiting.request.team, collections.deque())
         if first:
             queue.appendleft(waiting)
         else:
@@ -127,21 +127,23 @@
         """
         for group, team in self._order():
             queue = group.queues[team]
-            newest_first = len(queue) > 1 and _serves_newest_first(queue[0].ask, now_ms)
+            newest_first = len(queue) > 1 and _serves_newest_first(
+                queue[0].request, now_ms
+            )
             for waiting in reversed(queue) if newest_first else queue:
-                if waiting.ask.request_id not in skipped:
+                if waiting.request.request_id not in skipped:
                     return waiting
         return None
 
     def drop(self, waiting):
         """Remove a waiting request without charging its team."""
-        group = self._classes[is_urgent(waiting.ask)]
-        group.queues[waiting.ask.team].remove(waiting)
+        group = self._classes[is_urgent(waiting.request)]
+        group.queues[waiting.request.team].remove(waiting)
         self._on_removed(group, waiting)
 
     def pop(self, waiting):
         """Remove the request that ``head`` returned, and charge its team for it."""
-        team = waiting.ask.team
+        team = waiting.request.team
         # The minimum, not the tag of the request that goes: urgent work runs ahead of
         # its share, and a virtual time that followed it would erase what the other
         # teams are owed.
@@ -246,7 +248,7 @@
 
     def _charge_class(self, waiting):
         """Credit waiting routine work for urgent slot time, and charge what it uses."""
-        if is_urgent(waiting.ask):
+        if is_urgent(waiting.request):
             if self._classes[False].count:
                 earned = ROUTINE_SHARE / (1 - ROUTINE_SHARE)
                 self._routine_credit_ms += waiting.cost_ms * earned
@@ -254,7 +256,7 @@
             self._routine_credit_ms -= waiting.cost_ms
 
     def _on_removed(self, group, waiting):
-        team = waiting.ask.team
+        team = waiting.request.team
         group.count -= 1
         group.cost_ms -= waiting.cost_ms
         if not group.queues[team]:
@@ -269,9 +271,9 @@
     weights: int
 
 
-def is_urgent(ask):
+def is_urgent(request):
     """Whether a request belongs to the urgent class."""
-    return ask.priority >= URGENT_PRIORITY
+    return request.priority >= URGENT_PRIORITY
 
 
 def _serves_newest_first(oldest, now_ms):
--- a/alderreach/decisions/serving.py
+++ b/alderreach/decisions/serving.py
@@ -24,7 +24,7 @@
 SERVER_ERROR = 500
 
 
-class Ask(typing.NamedTuple):
+class Request(typing.NamedTuple):
     """A request for a runner; times are on the monotonic clock.
 
     ``attempt`` counts from 1; ``previous`` is how the attempt before it ended.
@@ -115,7 +115,7 @@
         """Number of requests that were granted a runner and have not ended."""
         return len(self._running)
 
-    def submit(self, ask, now_ms, avoided=(), free_places=None):
+    def submit(self, request, now_ms, avoided=(), free_places=None):
         """Queue or refuse a request; may also grant or refuse others.
 
         ``free_places`` is how many more requests of any service may wait in the entry.
@@ -123,18 +123,18 @@
         usable = set(self._router.usable)
         if not usable or usable <= set(avoided):
             kind = errors.Kind.NO_TARGET
-            return [Refusal(ask.request_id, kind, NO_TARGET_RETRY_MS)]
-        if ask.attempt > 1 and not self._may_retry(ask):
-            return [self._overloaded(ask)]
+            return [Refusal(request.request_id, kind, NO_TARGET_RETRY_MS)]
+        if request.attempt > 1 and not self._may_retry(request):
+            return [self._overloaded(request)]
         waiting = ordering.Waiting(
-            ask, tuple(avoided), self._run_times.expected_ms(ask.team)
+            request, tuple(avoided), self._run_times.expected_ms(request.team)
         )
         # An idle service accepts any request: otherwise a run time learned while it was
         # slow could refuse all requests, and no new measurement would correct it.
-        if self._running and not self._estimate(ask, now_ms).is_in_time:
-            return [self._overloaded(ask)]
-        self._line.push(waiting, first=ask.attempt > 1)
-        if ask.attempt == 1:
+        if self._running and not self._estimate(request, now_ms).is_in_time:
+            return [self._overloaded(request)]
+        self._line.push(waiting, first=request.attempt > 1)
+        if request.attempt == 1:
             self._budget.earn()
         bound = self._queue_length
         if free_places is not None:
@@ -142,9 +142,9 @@
         decisions = self.dispatch(now_ms)
         return decisions + self._shed(waiting, bound)
 
-    def refuse(self, ask):
+    def refuse(self, request):
         """Refuse a request because the entry as a whole is full."""
-        return self._overloaded(ask)
+        return self._overloaded(request)
 
     def on_attempt_ended(self, ended, now_ms):
         """Record the end of an attempt; may grant or refuse waiting requests."""
@@ -167,7 +167,7 @@
                 break
             if self._is_hopeless(waiting, now_ms):
                 self._line.drop(waiting)
-                decisions.append(self._deadline_refusal(waiting.ask, now_ms))
+                decisions.append(self._deadline_refusal(waiting.request, now_ms))
                 continue
             wait_ms = self._own_wait_ms(waiting, now_ms)
             runner = self._router.pick(now_ms, wait_ms, waiting.avoided)
@@ -175,7 +175,7 @@
                 self._line.pop(waiting)
                 decisions.append(self._grant(waiting, runner))
             elif waiting.avoided:
-                skipped.add(waiting.ask.request_id)
+                skipped.add(waiting.request.request_id)
             else:
                 break
         return decisions
@@ -184,25 +184,27 @@
         """Return (decisions, changes of targets for the time line) due by now."""
         changes = self._outliers.tick(now_ms)
         removed = self._line.remove(lambda each: self._is_hopeless(each, now_ms))
-        late = [self._deadline_refusal(waiting.ask, now_ms) for waiting in removed]
+        late = [self._deadline_refusal(waiting.request, now_ms) for waiting in removed]
         return late + self.dispatch(now_ms), changes
 
     def withdraw(self, request_id):
         """Remove a waiting request; return whether it was waiting."""
-        return bool(self._line.remove(lambda each: each.ask.request_id == request_id))
+        return bool(
+            self._line.remove(lambda each: each.request.request_id == request_id)
+        )
 
     def _usable_slots(self):
         """Return the slots this entry can rely on: its allowance, or those in use."""
         allowed = max(self._router.total_allowance(), len(self._running))
         return max(1, min(self._limit.value, allowed))
 
-    def _estimate(self, ask, now_ms):
+    def _estimate(self, request, now_ms):
         slots = self._usable_slots()
         return admission.estimate(
-            ask,
-            self._line.backlog(ask.team, ordering.is_urgent(ask)),
-            self._run_times.expected_ms(ask.team),
-            self._line.weight(ask.team),
+            request,
+            self._line.backlog(request.team, ordering.is_urgent(request)),
+            self._run_times.expected_ms(request.team),
+            self._line.weight(request.team),
             slots,
             slots - len(self._running),
             now_ms,
@@ -210,43 +212,45 @@
 
     def _own_wait_ms(self, waiting, now_ms):
         """Return how long a request will have waited in total for a local runner."""
-        waited_ms = now_ms - waiting.ask.arrived_ms
+        waited_ms = now_ms - waiting.request.arrived_ms
         return waited_ms + self._run_times.overall_ms / self._usable_slots()
 
-    def _may_retry(self, ask):
-        was_refused = ask.previous in (REFUSED, UNREACHABLE)
-        return self._budget.try_spend(ask.attempt, was_refused, bool(len(self._line)))
+    def _may_retry(self, request):
+        was_refused = request.previous in (REFUSED, UNREACHABLE)
+        return self._budget.try_spend(
+            request.attempt, was_refused, bool(len(self._line))
+        )
 
-    def _overloaded(self, ask):
-        backlog = self._line.backlog(ask.team, urgent=False)
+    def _overloaded(self, request):
+        backlog = self._line.backlog(request.team, urgent=False)
         wait_ms = admission.retry_after_ms(
             backlog.total_ms,
-            self._run_times.expected_ms(ask.team),
+            self._run_times.expected_ms(request.team),
             self._usable_slots(),
             self._random,
         )
-        return Refusal(ask.request_id, errors.Kind.OVERLOADED, wait_ms)
+        return Refusal(request.request_id, errors.Kind.OVERLOADED, wait_ms)
 
     def _shed(self, newcomer, bound):
         """Refuse requests above the queue's bound, of the team that has most in it."""
         decisions = []
         while len(self._line) > bound:
             team, share_ms = self._line.heaviest()
-            own = newcomer.ask.team
+            own = newcomer.request.team
             own_ms = self._line.cost_of(own) / self._line.weight(own)
             if not admission.may_displace(own_ms, share_ms) and self._line.cost_of(own):
                 team = own
             dropped = self._line.pop_newest(team)
-            decisions.append(self._overloaded(dropped.ask))
+            decisions.append(self._overloaded(dropped.request))
         return decisions
 
     def _grant(self, waiting, runner):
-        ask = waiting.ask
+        request = waiting.request
         self._router.on_attempt_started(runner.runner_id)
-        self._running[ask.request_id] = _Running(
-            ask.team, runner.runner_id, waiting.cost_ms
+        self._running[request.request_id] = _Running(
+            request.team, runner.runner_id, waiting.cost_ms
         )
-        return Grant(ask.request_id, runner, waiting.cost_ms)
+        return Grant(request.request_id, runner, waiting.cost_ms)
 
     def _record_attempt(self, ended, running, now_ms):
         self._line.correct(running.team, ended.run_ms - running.cost_ms)
@@ -263,11 +267,13 @@
 
     def _is_hopeless(self, waiting, now_ms):
         # As in ``submit``, an idle service tries any request whose deadline is ahead.
-        run_ms = self._run_times.expected_ms(waiting.ask.team) if self._running else 0
-        return admission.is_hopeless(waiting.ask, run_ms, now_ms)
+        run_ms = (
+            self._run_times.expected_ms(waiting.request.team) if self._running else 0
+        )
+        return admission.is_hopeless(waiting.request, run_ms, now_ms)
 
-    def _deadline_refusal(self, ask, now_ms):
-        refusal = self._overloaded(ask)
-        if ask.deadline_ms > now_ms:
+    def _deadline_refusal(self, request, now_ms):
+        refusal = self._overloaded(request)
+        if request.deadline_ms > now_ms:
             return refusal
         return refusal._replace(kind=errors.Kind.DEADLINE_PASSED)
--- a/alderreach/ops/entry/dispatcher.py
+++ b/alderreach/ops/entry/dispatcher.py
@@ -21,7 +21,7 @@
     """A request wants a runner; the ticket gets a Grant or a Refusal."""
 
     service: str
-    ask: serving.Ask
+    request: serving.Request
     avoided: tuple[str, ...]
     ticket: tasks.Ticket
 
@@ -112,13 +112,13 @@
 
     def _submit(self, mail):
         now_ms = self._clock.monotonic_ms()
-        self._tickets[mail.ask.request_id] = mail.ticket
+        self._tickets[mail.request.request_id] = mail.ticket
         service = self._service(mail.service)
         if len(self._tickets) + len(self._granted) > self._threads:
-            self._carry_out([service.refuse(mail.ask)])
+            self._carry_out([service.refuse(mail.request)])
             return
         self._carry_out(
-            service.submit(mail.ask, now_ms, mail.avoided, self._room_to_wait())
+            service.submit(mail.request, now_ms, mail.avoided, self._room_to_wait())
         )
 
     def _report(self, mail):
--- a/alderreach/ops/entry/requests.py
+++ b/alderreach/ops/entry/requests.py
@@ -148,7 +148,7 @@
         """Send to one runner after another until one answers or no more is allowed."""
         avoided, attempts, worst, previous = (), 0, None, ""
         while True:
-            ask = serving.Ask(
+            ask = serving.Request(
                 request.request_id,
                 request.headers.team,
                 _priority(request),
--- a/tools/virtual_load.py
+++ b/tools/virtual_load.py
@@ -125,10 +125,10 @@
         request_id = f"r{next(self._numbers)}"
         now_ms = self.loop.now_ms
         self._open[request_id] = [call, now_ms, 0, (), 0.0]
-        ask = serving.Ask(
+        request = serving.Request(
             request_id, call.team, call.priority, now_ms, now_ms + call.deadline_ms
         )
-        self._carry_out(self.decide.submit(ask, now_ms))
+        self._carry_out(self.decide.submit(request, now_ms))
 
     def _tick(self):
         self.loop.after(TICK_MS, self._tick)
@@ -167,7 +167,7 @@
         if result == serving.ANSWERED:
             return
         state[3] = avoided = (*avoided, runner_id)
-        ask = serving.Ask(
+        request = serving.Request(
             request_id,
             call.team,
             call.priority,
@@ -176,7 +176,7 @@
             attempts + 1,
             result,
         )
-        self._carry_out(self.decide.submit(ask, now_ms, avoided))
+        self._carry_out(self.decide.submit(request, now_ms, avoided))
 
     def _end(self, request_id, outcome, status, retry_after_ms):
         call, arrived_ms, attempts, _, _ = self._open.pop(request_id)
