--- a/alderreach/ops/entry/callers.py
+++ b/alderreach/ops/entry/callers.py
@@ -35,7 +35,7 @@
         self._lock = threading.Lock()
         self._number = 0
         self._last_ms = clock.monotonic_ms()
-        self.refuses = False
+        self.is_refusing = False
 
     def __enter__(self):
         with self._lock:
@@ -48,9 +48,9 @@
             self._number -= 1
             self._last_ms = self._clock.monotonic_ms()
 
-    def refuse_more(self):
+    def start_refusing(self):
         """Answer nothing from now on but that this process ends."""
-        self.refuses = True
+        self.is_refusing = True
 
     @property
     def number(self):
@@ -75,7 +75,7 @@
             headers.append(("Content-Length", str(len(body))))
             start_response(status, headers)
             return [body]
-        if in_flight.refuses:
+        if in_flight.is_refusing:
             answer = answers.problem(answers.Failure(_draining_kind(environ)))
         else:
             with in_flight:
@@ -116,18 +116,18 @@
     path, method = environ.get("PATH_INFO", ""), environ["REQUEST_METHOD"]
     service = SERVICE_PATH.fullmatch(path)
     if service:
-        return _only("POST", method) or requests.serve(environ, service[1])
+        return _check_method("POST", method) or requests.serve(environ, service[1])
     if path == JOBS_PATH:
-        return _only("POST", method) or jobs.submit(environ)
+        return _check_method("POST", method) or jobs.submit(environ)
     job = JOB_PATH.fullmatch(path)
     if job and method == "GET":
         return jobs.show(job[1])
     if job:
-        return _only("DELETE", method) or jobs.cancel(job[1])
+        return _check_method("DELETE", method) or jobs.cancel(job[1])
     return answers.problem(answers.Failure(errors.Kind.NOT_FOUND, path))
 
 
-def _only(allowed, method):
+def _check_method(allowed, method):
     if method == allowed:
         return None
     failure = answers.Failure(errors.Kind.METHOD_NOT_ALLOWED, f"{method}: {allowed}")
--- a/alderreach/ops/entry/dispatcher.py
+++ b/alderreach/ops/entry/dispatcher.py
@@ -52,22 +52,24 @@
 class Dispatcher:
     """The task; ``on_gone(runner)`` is told of runners that are known no more."""
 
-    def __init__(self, context, on_gone=lambda runner: None):
+    def __init__(self, context, on_runner_removed=lambda runner: None):
         self._context = context
         self._clock = context.clock
-        self._on_gone = on_gone
+        self._on_runner_removed = on_runner_removed
         self._random = random.Random(context.boot_id)
         self._catalog = catalog.EMPTY
         self._services = {}
         self._views = {}
-        self._gaps = set()
+        self._domains_with_gaps = set()
         self._tickets = {}
         self._granted = {}
         self._runners = {}
         self._next_watch_ms = 0
         self._placers = [p for p in context.settings.peers if p.role == "placer"]
-        self._place = _place(context.settings)
-        self._threads = thread_shares.of(context.settings.limits.http_threads).served
+        self._location = _location(context.settings)
+        self._max_served = thread_shares.divide(
+            context.settings.limits.http_threads
+        ).served
         self.published = Published(0, 0, 0, {})
         self._handlers = {
             Submit: self._submit,
@@ -87,57 +89,59 @@
         """End the task."""
         self._task.close()
 
-    def put(self, message):
+    def enqueue(self, message):
         """Give the task any of its messages; never blocks."""
         self._task.put(message)
 
-    def ask(self, service, ask, avoided=()):
+    def request_runner(self, service, request, avoided=()):
         """Wait for a runner: a ``serving.Grant`` or a ``serving.Refusal``."""
         ticket = tasks.Ticket()
-        self.put(Submit(service, ask, avoided, ticket))
-        left_ms = max(0, ask.deadline_ms - self._clock.monotonic_ms())
-        decision = ticket.wait(left_ms + ANSWER_MARGIN_MS)
+        self.enqueue(Submit(service, request, avoided, ticket))
+        remaining_ms = max(0, request.deadline_ms - self._clock.monotonic_ms())
+        decision = ticket.wait(remaining_ms + ANSWER_MARGIN_MS)
         if decision is None:
-            self.put(Withdraw(service, ask.request_id))
+            self.enqueue(Withdraw(service, request.request_id))
             kind = errors.Kind.DEADLINE_PASSED
-            decision = serving.Refusal(ask.request_id, kind, ANSWER_MARGIN_MS)
+            decision = serving.Refusal(request.request_id, kind, ANSWER_MARGIN_MS)
         return decision
 
     def report(self, service, ended):
         """Tell how an attempt that was granted has ended."""
-        self.put(Report(service, ended))
+        self.enqueue(Report(service, ended))
 
     def _handle(self, message):
         self._handlers[type(message)](message)
 
-    def _submit(self, mail):
+    def _submit(self, message):
         now_ms = self._clock.monotonic_ms()
-        self._tickets[mail.request.request_id] = mail.ticket
-        service = self._service(mail.service)
-        if len(self._tickets) + len(self._granted) > self._threads:
-            self._carry_out([service.refuse(mail.request)])
+        self._tickets[message.request.request_id] = message.ticket
+        service = self._service(message.service)
+        if len(self._tickets) + len(self._granted) > self._max_served:
+            self._carry_out([service.refuse(message.request)])
             return
         self._carry_out(
-            service.submit(mail.request, now_ms, mail.avoided, self._room_to_wait())
+            service.submit(
+                message.request, now_ms, message.avoided, self._free_places()
+            )
         )
 
-    def _report(self, mail):
-        service = self._service(mail.service)
-        self._granted.pop(mail.ended.request_id, None)
+    def _report(self, message):
+        service = self._service(message.service)
+        self._granted.pop(message.ended.request_id, None)
         self._carry_out(
-            service.on_attempt_ended(mail.ended, self._clock.monotonic_ms())
+            service.on_attempt_ended(message.ended, self._clock.monotonic_ms())
         )
 
-    def _withdraw(self, mail):
+    def _withdraw(self, message):
         """Forget a request, or free the runner it was granted unnoticed."""
-        self._tickets.pop(mail.request_id, None)
-        self._service(mail.service).withdraw(mail.request_id)
-        grant = self._granted.get(mail.request_id)
+        self._tickets.pop(message.request_id, None)
+        self._service(message.service).withdraw(message.request_id)
+        grant = self._granted.get(message.request_id)
         if grant is not None:
             ended = serving.AttemptEnded(
-                mail.request_id, grant.runner.runner_id, serving.WITHDRAWN, 0, 0
+                message.request_id, grant.runner.runner_id, serving.WITHDRAWN, 0, 0
             )
-            self._report(Report(mail.service, ended))
+            self._report(Report(message.service, ended))
 
     def _carry_out(self, decisions):
         for decision in decisions:
@@ -151,7 +155,7 @@
         service = self._services.get(name)
         if service is None:
             limits = self._context.settings.limits
-            service = serving.Service(self._place, limits.queue_length, self._random)
+            service = serving.Service(self._location, limits.queue_length, self._random)
             self._services[name] = service
             self._configure(name, service)
             service.set_runners(self._runners_of(name))
@@ -160,23 +164,23 @@
     def _runners_of(self, name):
         return [runner for runner in self._runners.values() if runner.service == name]
 
-    def _set_catalog(self, made):
-        self._catalog = made
+    def _set_catalog(self, new_catalog):
+        self._catalog = new_catalog
         for name, service in self._services.items():
             self._configure(name, service)
 
     def _configure(self, name, service):
         weights = {team.name: team.weight for team in self._catalog.teams.values()}
-        load = self._catalog.services.get(name)
-        service.configure(weights, load.expected_run_ms if load else 0)
+        workload = self._catalog.services.get(name)
+        service.configure(weights, workload.expected_run_ms if workload else 0)
 
     def _apply_view(self, pushed):
         domain = pushed.failure_domain
         before = self._views.get(domain, target_views.EMPTY)
         applied = target_views.apply(before, pushed)
-        self._gaps.discard(domain)
+        self._domains_with_gaps.discard(domain)
         if applied.has_gap:
-            self._gaps.add(domain)
+            self._domains_with_gaps.add(domain)
             self._watch(domain)
         if applied.view is before:
             return
@@ -197,7 +201,7 @@
         for runner in before.values():
             after = self._runners.get(runner.runner_id)
             if after is None or after.boot_id != runner.boot_id:
-                self._on_gone(runner)
+                self._on_runner_removed(runner)
             if after is None or after.state != runner.state:
                 self._context.timeline.record(
                     "target_state_seen",
@@ -231,7 +235,7 @@
 
     def _watch(self, domain):
         view = self._views.get(domain, target_views.EMPTY)
-        message = target_views.watch_request(view, domain in self._gaps)
+        message = target_views.watch_request(view, domain in self._domains_with_gaps)
         for peer in self._placers:
             if peer.failure_domain == domain:
                 self._context.transport.send(peer.address, message)
@@ -244,15 +248,15 @@
             {domain: view.epoch for domain, view in self._views.items()},
         )
 
-    def _room_to_wait(self):
+    def _free_places(self):
         """How many more may wait in the queue, whatever their service."""
         waiting = sum(service.waiting for service in self._services.values())
         return max(0, self._context.settings.limits.queue_length - waiting)
 
 
-def _place(settings):
+def _location(settings):
     """Where this entry stands among the entries of the cell."""
     domain = settings.process.failure_domain
     entries = [peer for peer in settings.peers if peer.role == "entry"]
-    near = sum(peer.failure_domain == domain for peer in entries)
-    return serving.EntryLocation(domain, near + 1, len(entries) + 1)
+    entries_in_domain = sum(peer.failure_domain == domain for peer in entries)
+    return serving.EntryLocation(domain, entries_in_domain + 1, len(entries) + 1)
--- a/alderreach/ops/entry/intake.py
+++ b/alderreach/ops/entry/intake.py
@@ -17,7 +17,7 @@
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
 KEY_PATTERN = re.compile(r"[\x21-\x7e]+")
 NUMBER_PATTERN = re.compile(r"[0-9]{1,12}")
-TRUE_WORDS = {"true": True, "false": False, "": False}
+BOOLEAN_WORDS = {"true": True, "false": False, "": False}
 
 
 class RequestHeaders(typing.NamedTuple):
@@ -49,7 +49,7 @@
         detail = f"Alderreach-Deadline-Ms must be from 1 to {limits.deadline_max_ms}"
         return _refuse(kind, detail)
     word = environ.get("HTTP_ALDERREACH_NON_IDEMPOTENT", "").lower()
-    if word not in TRUE_WORDS:
+    if word not in BOOLEAN_WORDS:
         return _refuse(kind, "Alderreach-Non-Idempotent must be true or false")
     key = environ.get("HTTP_IDEMPOTENCY_KEY", "")
     if key and not is_key(key, limits):
@@ -61,7 +61,7 @@
         RequestHeaders(
             team,
             deadline_ms,
-            TRUE_WORDS[word],
+            BOOLEAN_WORDS[word],
             key,
             int(priority) if priority else None,
             environ.get("CONTENT_TYPE", "") or "application/octet-stream",
--- a/alderreach/ops/entry/jobs.py
+++ b/alderreach/ops/entry/jobs.py
@@ -19,14 +19,14 @@
 
 KEEPERS_TIMEOUT_MS = 3000
 OWNER_TIMEOUT_MS = 1000
-MOST_TASKS = 100_000
+MAX_TASKS = 100_000
 ID_HEX = 20
 GANG = "gang"
 KINDS = ("batch", GANG)
-UNSENT = ("no_quorum", "busy")
+UNSENT_STATUSES = ("no_quorum", "busy")
 
 
-class Order(typing.TypedDict):
+class JobRequest(typing.TypedDict):
     """The JSON body of a submission."""
 
     team: str
@@ -37,7 +37,7 @@
     failure_domain: typing.NotRequired[str]
 
 
-ORDER_KEYS = frozenset(Order.__annotations__)
+JOB_REQUEST_KEYS = frozenset(JobRequest.__annotations__)
 _decoder = msgspec.json.Decoder(dict)
 
 
@@ -64,13 +64,13 @@
         key = environ.get("HTTP_IDEMPOTENCY_KEY", "")
         if key and not intake.is_key(key, limits):
             return _malformed(intake.key_rule(limits))
-        order = read_order(body.ok_value)
-        if isinstance(order, Err):
-            return _malformed(order.err_value)
-        job = self._make_job(order.ok_value, key)
+        job_request = read_job_request(body.ok_value)
+        if isinstance(job_request, Err):
+            return _malformed(job_request.err_value)
+        job = self._make_job(job_request.ok_value, key)
         if isinstance(job, Err):
             return answers.problem(job.err_value)
-        return self._accept(job.ok_value, key, order.ok_value)
+        return self._accept(job.ok_value, key, job_request.ok_value)
 
     def show(self, job_id):
         """GET /v1/jobs/{id}: as its owner sees it, else as the log has it."""
@@ -82,7 +82,7 @@
             query = placer.JobQuery("", job_id)
             reply = self._ask_peer(owner.peer_address, query, OWNER_TIMEOUT_MS)
             if reply is not None and reply.owned and reply.statuses:
-                return _shown(domain, reply.statuses[0], reply.tasks, "owner")
+                return _job_answer(domain, reply.statuses[0], reply.tasks, "owner")
         return self._show_recorded(domain, job_id)
 
     def cancel(self, job_id):
@@ -92,97 +92,105 @@
             return _not_found(job_id)
         found = self._read(f"job/{domain}/{job_id}")
         if isinstance(found, Err):
-            return answers.problem(_unwritten(found.err_value))
+            return answers.problem(_write_failure(found.err_value))
         if found.ok_value is None:
             return _not_found(job_id)
         write = keeper.ItemWrite(f"cancel/{domain}/{job_id}", -1, b"")
         result = self._write(uuid.uuid4().hex, [write])
         if isinstance(result, Err):
-            return answers.problem(_unwritten(result.err_value))
+            return answers.problem(_write_failure(result.err_value))
         self._context.timeline.record("job_cancel_accepted", job_id=job_id)
         return answers.json_answer(202, {"job_id": job_id, "state": "cancelling"})
 
-    def _make_job(self, order, key):
-        """The job an order asks for, or why there can be none."""
-        known = self._get_catalog()
-        team = known.teams.get(order["team"])
+    def _make_job(self, job_request, key):
+        """The job a job request asks for, or why there can be none."""
+        current_catalog = self._get_catalog()
+        team = current_catalog.teams.get(job_request["team"])
         if team is None:
-            return Err(answers.Failure(errors.Kind.UNKNOWN_TEAM, order["team"]))
-        load = known.workloads.get((order["team"], order["workload"]))
-        if load is None or load.kind not in KINDS:
-            detail = f"{order['workload']} is no batch run or gang job of the team"
+            return Err(answers.Failure(errors.Kind.UNKNOWN_TEAM, job_request["team"]))
+        workload = current_catalog.workloads.get(
+            (job_request["team"], job_request["workload"])
+        )
+        if workload is None or workload.kind not in KINDS:
+            detail = (
+                f"{job_request['workload']} is no batch run or gang job of the team"
+            )
             return Err(answers.Failure(errors.Kind.UNKNOWN_WORKLOAD, detail))
-        domain = order.get("failure_domain") or load.home_failure_domain
+        domain = job_request.get("failure_domain") or workload.home_failure_domain
         domain = domain or self._context.settings.process.failure_domain
         if domain not in self._domains:
             detail = f"{domain} is no failure domain of the cell"
             return Err(answers.Failure(errors.Kind.MALFORMED_REQUEST, detail))
-        tasks = order.get("tasks") or load.tasks
-        together = tasks if load.kind == GANG else 1
-        if not resources.fits(resources.times(load.task, together), team.quota):
+        tasks = job_request.get("tasks") or workload.tasks
+        concurrent_tasks = tasks if workload.kind == GANG else 1
+        if not resources.fits(
+            resources.times(workload.task, concurrent_tasks), team.quota
+        ):
             detail = "The team's quota is too small for it"
             return Err(answers.Failure(errors.Kind.IMPOSSIBLE_JOB, detail))
         return Ok(
             common.Job(
-                f"{domain}-{_job_hash(order['team'], key)}",
-                order["team"],
-                load.name,
-                load.kind,
+                f"{domain}-{_job_hash(job_request['team'], key)}",
+                job_request["team"],
+                workload.name,
+                workload.kind,
                 domain,
-                load.task,
+                workload.task,
                 tasks,
-                order.get("priority", load.priority),
-                load.when_cut_off,
-                load.checkpoint,
-                load.expected_run_ms,
-                order.get("payload", ""),
+                job_request.get("priority", workload.priority),
+                workload.when_cut_off,
+                workload.checkpoint,
+                workload.expected_run_ms,
+                job_request.get("payload", ""),
                 self._clock.wall_ms(),
                 key,
             )
         )
 
-    def _accept(self, job, key, order):
+    def _accept(self, job, key, job_request):
         item = f"job/{job.failure_domain}/{job.job_id}"
         writes = [keeper.ItemWrite(item, 0, codec.encode(job))]
-        submission = entry.Submission(job.job_id, job.failure_domain, _digest(order))
-        place = f"submission/{job.team}/{_hash(key)}"
+        submission = entry.Submission(
+            job.job_id, job.failure_domain, _digest(job_request)
+        )
+        submission_key = f"submission/{job.team}/{_hash(key)}"
         if key:
-            writes.append(keeper.ItemWrite(place, 0, codec.encode(submission)))
+            writes.append(keeper.ItemWrite(submission_key, 0, codec.encode(submission)))
         result = self._write(uuid.uuid4().hex, writes)
         if isinstance(result, Err):
-            return answers.problem(_unwritten(result.err_value))
+            return answers.problem(_write_failure(result.err_value))
         if result.ok_value.status == "accepted":
             self._context.timeline.record(
                 "job_accepted", job_id=job.job_id, team=job.team
             )
-            return _accepted(201, job.job_id, job.failure_domain)
+            return _accepted_answer(201, job.job_id, job.failure_domain)
         if not key:
             return answers.problem(answers.Failure(errors.Kind.CONFLICT))
-        return self._accepted_before(place, submission)
+        return self._first_submission_answer(submission_key, submission)
 
-    def _accepted_before(self, place, submission):
-        found = self._read(place)
+    def _first_submission_answer(self, submission_key, submission):
+        found = self._read(submission_key)
         if isinstance(found, Err):
-            return answers.problem(_unread(found.err_value))
+            return answers.problem(_read_failure(found.err_value))
         if found.ok_value is None:
             return answers.problem(answers.Failure(errors.Kind.KEY_EXPIRED))
         first = codec.decode(found.ok_value.value, entry.Submission)
         if first.digest != submission.digest:
             return answers.problem(answers.Failure(errors.Kind.KEY_REUSED))
-        return _accepted(200, first.job_id, first.failure_domain)
+        return _accepted_answer(200, first.job_id, first.failure_domain)
 
     def _show_recorded(self, domain, job_id):
         status = self._read(f"status/{domain}/{job_id}")
         if isinstance(status, Ok) and status.ok_value is not None:
             decoded = codec.decode(status.ok_value.value, common.JobStatus)
-            return _shown(domain, decoded, [], "keepers")
+            return _job_answer(domain, decoded, [], "keepers")
         job = self._read(f"job/{domain}/{job_id}")
         if isinstance(status, Err) or isinstance(job, Err):
             return answers.problem(answers.Failure(errors.Kind.NO_QUORUM))
         if job.ok_value is None:
             return _not_found(job_id)
         waiting = common.JobStatus(job_id, "waiting", "not yet seen", 0, 0, 0, 0, 0)
-        return _shown(domain, waiting, [], "keepers")
+        return _job_answer(domain, waiting, [], "keepers")
 
     def _read(self, key):
         """``Ok(Item or None)`` as the quorum has it, or ``Err(status)``."""
@@ -210,21 +218,21 @@
         return domain if is_known else None
 
 
-def read_order(body):
+def read_job_request(body):
     """``Ok(Order)`` or ``Err(text)`` that names the first mistake."""
     try:
         raw = _decoder.decode(body)
-        unknown = sorted(set(raw) - ORDER_KEYS)
+        unknown = sorted(set(raw) - JOB_REQUEST_KEYS)
         if unknown:
             return Err(f"unknown field {unknown[0]}")
-        order = msgspec.convert(raw, Order)
+        job_request = msgspec.convert(raw, JobRequest)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         return Err(str(error))
-    if not 1 <= order.get("tasks", 1) <= MOST_TASKS:
-        return Err(f"tasks must be from 1 to {MOST_TASKS}")
-    if not 0 <= order.get("priority", 0) <= 9:
+    if not 1 <= job_request.get("tasks", 1) <= MAX_TASKS:
+        return Err(f"tasks must be from 1 to {MAX_TASKS}")
+    if not 0 <= job_request.get("priority", 0) <= 9:
         return Err("priority must be from 0 to 9")
-    return Ok(order)
+    return Ok(job_request)
 
 
 def _hash(text):
@@ -235,16 +243,16 @@
     return _hash(f"{team}/{key}") if key else uuid.uuid4().hex[:ID_HEX]
 
 
-def _digest(order):
-    return hashlib.sha256(msgspec.json.encode(order, order="sorted")).hexdigest()
+def _digest(job_request):
+    return hashlib.sha256(msgspec.json.encode(job_request, order="sorted")).hexdigest()
 
 
-def _accepted(status, job_id, domain):
+def _accepted_answer(status, job_id, domain):
     document = {"job_id": job_id, "failure_domain": domain}
     return answers.json_answer(status, document, (("Location", f"/v1/jobs/{job_id}"),))
 
 
-def _shown(domain, status, tasks, source):
+def _job_answer(domain, status, tasks, source):
     document = status._asdict() | {
         "failure_domain": domain,
         "tasks": [task._asdict() for task in tasks],
@@ -261,12 +269,12 @@
     return answers.problem(answers.Failure(errors.Kind.NOT_FOUND, f"job {job_id}"))
 
 
-def _unwritten(status):
+def _write_failure(status):
     """A write that ended without result: refused for sure, or nobody knows."""
-    sure = status in UNSENT
-    kind = errors.Kind.NO_QUORUM if sure else errors.Kind.WRITE_UNCONFIRMED
+    is_unsent = status in UNSENT_STATUSES
+    kind = errors.Kind.NO_QUORUM if is_unsent else errors.Kind.WRITE_UNCONFIRMED
     return answers.Failure(kind)
 
 
-def _unread(status):
+def _read_failure(status):
     return answers.Failure(errors.Kind.WRITE_UNCONFIRMED, f"reading: {status}")
--- a/alderreach/ops/entry/keepers.py
+++ b/alderreach/ops/entry/keepers.py
@@ -18,7 +18,7 @@
 from alderreach.ops import keeper_client
 from alderreach.ops.entry import thread_shares
 
-SILENT_TIMEOUT_MS = 250
+UNRESPONSIVE_TIMEOUT_MS = 250
 BUSY = "busy"
 
 
@@ -26,10 +26,10 @@
     """Asks through the gateway; any thread may call."""
 
     def __init__(self, gateway, http_threads):
-        shares = thread_shares.of(http_threads)
+        shares = thread_shares.divide(http_threads)
         self._gateway = gateway
-        self._permits = threading.BoundedSemaphore(shares.questions)
-        self._is_silent = False
+        self._permits = threading.BoundedSemaphore(shares.keeper_requests)
+        self._is_unresponsive = False
 
     def ask(self, command, timeout_ms) -> Result:
         """``Ok(message)``, or ``Err(status)``: no_quorum, uncertain or busy.
@@ -38,13 +38,13 @@
         """
         if not self._permits.acquire(blocking=False):
             return Err(BUSY)
-        if self._is_silent:
-            timeout_ms = min(timeout_ms, SILENT_TIMEOUT_MS)
+        if self._is_unresponsive:
+            timeout_ms = min(timeout_ms, UNRESPONSIVE_TIMEOUT_MS)
         try:
             outcome = self._gateway.ask_keepers(command, timeout_ms)
         finally:
             self._permits.release()
-        self._is_silent = outcome.status == "uncertain"
+        self._is_unresponsive = outcome.status == "uncertain"
         return _unpack(outcome)
 
     def request(self, command, done, timeout_ms):
--- a/alderreach/ops/entry/once.py
+++ b/alderreach/ops/entry/once.py
@@ -22,10 +22,10 @@
 
 CLAIM_TIMEOUT_MS = 2000
 RELEASE_TIMEOUT_MS = 1000
-POLL_FIRST_MS = 20
-POLL_MAX_MS = 500
+MIN_POLL_MS = 20
+MAX_POLL_MS = 500
 RECORD_TIMEOUT_MS = 10_000
-RECORD_TRIES = 60
+MAX_RECORD_ATTEMPTS = 60
 
 
 class Keyed(typing.NamedTuple):
@@ -46,7 +46,7 @@
     body: bytes
 
 
-class Once:
+class KeyClaims:
     """Claims keys and records outcomes for one entry; any thread may call.
 
     ``pause(duration_ms)`` waits between two looks at a key that another request holds.
@@ -60,7 +60,7 @@
         self._pause = pause
         self._lock = threading.Lock()
         self._unrecorded = 0
-        self._wait_reports = threading.BoundedSemaphore(key_waits)
+        self._wait_permits = threading.BoundedSemaphore(key_waits)
 
     @property
     def unrecorded(self):
@@ -69,15 +69,15 @@
 
     def claim(self, keyed) -> Result:
         """``Ok(None)``: send it. ``Ok(Recorded)``: the answer. ``Err(Failure)``."""
-        found = self._intend(keyed)
+        found = self._record_intent(keyed)
         if isinstance(found, Err) or not self._must_wait(found.ok_value, keyed):
-            return self._follow(keyed, found)
-        if not self._wait_reports.acquire(blocking=False):
+            return self._await_outcome(keyed, found)
+        if not self._wait_permits.acquire(blocking=False):
             return Err(answers.Failure(errors.Kind.IN_PROGRESS))
         try:
-            return self._follow(keyed, found)
+            return self._await_outcome(keyed, found)
         finally:
-            self._wait_reports.release()
+            self._wait_permits.release()
 
     def _must_wait(self, record, keyed):
         verdict = idempotency.decide(
@@ -85,9 +85,9 @@
         )
         return verdict.step in (idempotency.Step.WAIT, idempotency.Step.CLAIM)
 
-    def _follow(self, keyed, found):
+    def _await_outcome(self, keyed, found):
         """Look at the key until it is this request's, or settled, or time is up."""
-        poll_ms = POLL_FIRST_MS
+        poll_ms = MIN_POLL_MS
         while True:
             if isinstance(found, Err):
                 return found
@@ -101,12 +101,12 @@
                 return Ok(Recorded(record.status, record.content_type, record.body))
             if verdict.step is idempotency.Step.REFUSE:
                 return Err(answers.Failure(verdict.kind))
-            if self._left_ms(keyed) <= poll_ms:
+            if self._remaining_ms(keyed) <= poll_ms:
                 return Err(answers.Failure(errors.Kind.IN_PROGRESS))
             self._pause(poll_ms)
-            poll_ms = min(poll_ms * 2, POLL_MAX_MS)
+            poll_ms = min(poll_ms * 2, MAX_POLL_MS)
             is_free = verdict.step is idempotency.Step.CLAIM
-            found = self._intend(keyed) if is_free else self._look(keyed)
+            found = self._record_intent(keyed) if is_free else self._read_key(keyed)
 
     def release(self, keyed):
         """Free the key of a claimed request that surely was not run.
@@ -117,22 +117,22 @@
         """
         outcome = self._outcome(keyed, idempotency.NOT_RUN, 0, "", b"")
         if self._keepers.ask(outcome, RELEASE_TIMEOUT_MS).is_err():
-            self._record(outcome, RECORD_TRIES)
+            self._record_in_background(outcome, MAX_RECORD_ATTEMPTS)
 
     def record_ran(self, keyed, status, content_type, body):
         """Keep the answer of a claimed request, without holding the caller up."""
         outcome = self._outcome(keyed, idempotency.RAN, status, content_type, body)
-        self._record(outcome, RECORD_TRIES)
+        self._record_in_background(outcome, MAX_RECORD_ATTEMPTS)
 
     def record_unknown(self, keyed):
         """Note that it can't be told whether a claimed request ran."""
         outcome = self._outcome(keyed, idempotency.UNKNOWN, 0, "", b"")
-        self._record(outcome, RECORD_TRIES)
+        self._record_in_background(outcome, MAX_RECORD_ATTEMPTS)
 
-    def _left_ms(self, keyed):
+    def _remaining_ms(self, keyed):
         return keyed.deadline_ms - self._clock.monotonic_ms()
 
-    def _intend(self, keyed):
+    def _record_intent(self, keyed):
         intent = keeper.RecordIntent(
             keyed.key,
             keyed.service,
@@ -142,24 +142,26 @@
             keyed.request_id,
             self._clock.wall_ms(),
         )
-        found = self._keepers.ask(intent, self._patience_ms(keyed))
+        found = self._keepers.ask(intent, self._keeper_timeout_ms(keyed))
         if found == Err("uncertain"):
-            return self._give_up(keyed)
-        return found.map_err(_unchecked)
+            return self._abandon_claim(keyed)
+        return found.map_err(_key_unchecked)
 
-    def _look(self, keyed):
+    def _read_key(self, keyed):
         """A current read; the claim it finds may be another's or none."""
-        found = self._keepers.ask(keeper.ReadKey(keyed.key), self._patience_ms(keyed))
+        found = self._keepers.ask(
+            keeper.ReadKey(keyed.key), self._keeper_timeout_ms(keyed)
+        )
         return found.map_err(lambda status: answers.Failure(errors.Kind.IN_PROGRESS))
 
-    def _patience_ms(self, keyed):
-        return max(1, min(CLAIM_TIMEOUT_MS, self._left_ms(keyed)))
+    def _keeper_timeout_ms(self, keyed):
+        return max(1, min(CLAIM_TIMEOUT_MS, self._remaining_ms(keyed)))
 
-    def _give_up(self, keyed):
+    def _abandon_claim(self, keyed):
         """End a claim of which nobody knows whether it is in the log."""
         outcome = self._outcome(keyed, idempotency.NOT_RUN, 0, "", b"")
-        self._record(outcome, RECORD_TRIES)
-        return Err(_unchecked("uncertain"))
+        self._record_in_background(outcome, MAX_RECORD_ATTEMPTS)
+        return Err(_key_unchecked("uncertain"))
 
     def _outcome(self, keyed, outcome, status, content_type, body):
         is_kept = len(body) <= self._kept_answer_bytes
@@ -173,7 +175,7 @@
             is_kept,
         )
 
-    def _record(self, outcome, tries):
+    def _record_in_background(self, outcome, attempts):
         """Ask again and again: a claim without outcome stays unknown for ever."""
         with self._lock:
             self._unrecorded += 1
@@ -183,14 +185,14 @@
                 self._unrecorded -= 1
             if found.is_ok():
                 return
-            if tries > 1:
-                self._record(outcome, tries - 1)
+            if attempts > 1:
+                self._record_in_background(outcome, attempts - 1)
             else:
                 logging.error("outcome of request %s is lost", outcome.request_id)
 
         self._keepers.request(outcome, done, RECORD_TIMEOUT_MS)
 
 
-def _unchecked(status):
+def _key_unchecked(status):
     detail = f"The keepers' answer was {status}; send it again under the same key"
     return answers.Failure(errors.Kind.KEY_UNCHECKED, detail, CLAIM_TIMEOUT_MS)
--- a/alderreach/ops/entry/operator_cell.py
+++ b/alderreach/ops/entry/operator_cell.py
@@ -14,9 +14,9 @@
 from alderreach.utils import timeline as timeline_events
 
 PEER_TIMEOUT_MS = 1500
-THREADS_MAX = 64
+MAX_THREADS = 64
 EVENTS_DEFAULT = 200
-EVENTS_MAX = 20_000
+MAX_EVENTS = 20_000
 
 
 def status(deps, _request):
@@ -61,7 +61,7 @@
 
 def timeline(deps, request):
     """GET /v1/timeline: events of all processes as one line, oldest first."""
-    limit = operator_http.read_count(request, "limit", EVENTS_DEFAULT, EVENTS_MAX)
+    limit = operator_http.read_count(request, "limit", EVENTS_DEFAULT, MAX_EVENTS)
     if isinstance(limit, Err):
         return limit
     query = common.TimelineQuery(
@@ -87,7 +87,7 @@
     def ask(peer):
         return deps.gateway.ask_peer(peer.address, message, PEER_TIMEOUT_MS)
 
-    with concurrent.futures.ThreadPoolExecutor(min(THREADS_MAX, len(peers))) as pool:
+    with concurrent.futures.ThreadPoolExecutor(min(MAX_THREADS, len(peers))) as pool:
         replies = list(pool.map(ask, peers))
     return {peer.name: reply for peer, reply in zip(peers, replies, strict=True)}
 
--- a/alderreach/ops/entry/operator_changes.py
+++ b/alderreach/ops/entry/operator_changes.py
@@ -20,10 +20,10 @@
 CHANGE_PREFIX = "change/"
 CHANGES_KEPT = 1000
 TRIM_EVERY = 100
-SUMMARY_CHARS = 400
+MAX_SUMMARY_CHARS = 400
 DIGEST_CHARS = 20
 
-_written = itertools.count(1)
+_changes_written = itertools.count(1)
 
 
 def change_id(operator, idempotency_key):
@@ -66,7 +66,7 @@
         request.asked_wall_ms,
         digest(request),
         [write.key for write in writes],
-        summary[:SUMMARY_CHARS],
+        summary[:MAX_SUMMARY_CHARS],
     )
     record = keeper.ItemWrite(f"{CHANGE_PREFIX}{own_id}", -1, codec.encode(change))
     command = keeper.WriteItems(
@@ -83,9 +83,9 @@
         deps.context.timeline.record(
             "change_accepted",
             request_id=own_id,
-            detail=f"{request.operator}: {summary[:SUMMARY_CHARS]}",
+            detail=f"{request.operator}: {summary[:MAX_SUMMARY_CHARS]}",
         )
-        _trim_now_and_then(deps)
+        _trim_periodically(deps)
     return result
 
 
@@ -113,14 +113,17 @@
 
 
 def _conflict(conflicts):
-    told = [
+    descriptions = [
         f"{entry.key} was changed by {entry.author or 'the system'}"
         f" in version {entry.version}"
         for entry in conflicts
     ]
-    detail = "; ".join(told) + ". Nothing was changed: read it again and decide anew."
-    more = [entry._asdict() for entry in conflicts]
-    return operator_http.refuse(errors.Kind.CONFLICT, detail, conflicts=more)
+    detail = (
+        "; ".join(descriptions)
+        + ". Nothing was changed: read it again and decide anew."
+    )
+    documents = [entry._asdict() for entry in conflicts]
+    return operator_http.refuse(errors.Kind.CONFLICT, detail, conflicts=documents)
 
 
 def _accepted(version, keys):
@@ -132,7 +135,7 @@
     return operator_http.refuse(errors.Kind.KEY_REUSED, detail)
 
 
-def earlier(deps, request):
+def find_earlier_result(deps, request):
     """The result of this very change if it was accepted before, else None.
 
     The answer to an accepted change can be lost. Its resend must get the same answer,
@@ -151,12 +154,12 @@
 
 def digest(request):
     """A hash of what a request asks for."""
-    asked = f"{request.method} {request.path}\0".encode() + request.body
-    return hashlib.sha256(asked).hexdigest()[:DIGEST_CHARS]
+    content = f"{request.method} {request.path}\0".encode() + request.body
+    return hashlib.sha256(content).hexdigest()[:DIGEST_CHARS]
 
 
-def _trim_now_and_then(deps):
-    if next(_written) % TRIM_EVERY:
+def _trim_periodically(deps):
+    if next(_changes_written) % TRIM_EVERY:
         return
     _version, items, _current = read(deps.gateway, CHANGE_PREFIX)
     oldest = sorted(items.values(), key=lambda item: item.version)[:-CHANGES_KEPT]
--- a/alderreach/ops/entry/operator_config.py
+++ b/alderreach/ops/entry/operator_config.py
@@ -26,7 +26,7 @@
 }
 PREFIXES = tuple(f"{kind}/" for kind in KINDS)
 HISTORY_LIMIT = 50
-WRITES_MAX = 1000
+MAX_WRITES = 1000
 ANY_VERSION = -1
 
 
@@ -106,11 +106,11 @@
     if not current:
         return operator_changes.no_quorum()
     # After the reading, so that a change which it saw already is found here.
-    earlier = operator_changes.earlier(deps, request)
+    earlier = operator_changes.find_earlier_result(deps, request)
     if earlier is not None:
         return earlier
     before = {key: record for key, (_item, record) in items.items()}
-    if not is_lost(items, writes):
+    if not has_version_conflict(items, writes):
         mistakes = check(deps, request, before, writes)
         if mistakes:
             return _invalid(mistakes)
@@ -158,8 +158,8 @@
 
 def parse_writes(entries):
     """Read the list of writes; returns ``(list[Write], list[Mistake])``."""
-    if not isinstance(entries, list) or not 1 <= len(entries) <= WRITES_MAX:
-        message = f"must be a list of 1 to {WRITES_MAX} writes"
+    if not isinstance(entries, list) or not 1 <= len(entries) <= MAX_WRITES:
+        message = f"must be a list of 1 to {MAX_WRITES} writes"
         return [], [configuration.Mistake("", "writes", message)]
     writes, mistakes, keys = [], [], set()
     for entry in entries:
@@ -216,7 +216,7 @@
     return after
 
 
-def is_lost(items, writes):
+def has_version_conflict(items, writes):
     """Whether an item has another version by now than a write was made from.
 
     Then the keepers surely refuse the writes and tell who won. Checked against what is
--- a/alderreach/ops/entry/operator_http.py
+++ b/alderreach/ops/entry/operator_http.py
@@ -28,7 +28,7 @@
     operator: str
     method: str
     path: str
-    names: dict
+    path_params: dict
     query: dict
     idempotency_key: str
     asked_wall_ms: int
@@ -40,12 +40,12 @@
 
     kind: errors.Kind
     detail: str
-    more: dict = {}
+    extensions: dict = {}
 
 
-def refuse(kind, detail, **more):
+def refuse(kind, detail, **extensions):
     """An ``Err`` with a refusal."""
-    return Err(Refusal(kind, detail, more))
+    return Err(Refusal(kind, detail, extensions))
 
 
 def refuse_fields(kind, found):
@@ -113,7 +113,7 @@
     refusal = result.err_value
     failure = answers.Failure(refusal.kind, refusal.detail)
     plain = answers.problem(failure, extra=headers)
-    if not refusal.more:
+    if not refusal.extensions:
         return plain
-    document = msgspec.json.decode(plain.body) | refusal.more
+    document = msgspec.json.decode(plain.body) | refusal.extensions
     return plain._replace(body=msgspec.json.encode(document))
--- a/alderreach/ops/entry/operator_jobs.py
+++ b/alderreach/ops/entry/operator_jobs.py
@@ -11,7 +11,7 @@
 )
 
 JOBS_DEFAULT = 100
-JOBS_MAX = 10_000
+MAX_JOBS = 10_000
 
 
 def show_all(deps, request):
@@ -20,15 +20,15 @@
     The state comes from the owner of each domain, and where none answers, from the
     last durable one.
     """
-    limit = operator_http.read_count(request, "limit", JOBS_DEFAULT, JOBS_MAX)
+    limit = operator_http.read_count(request, "limit", JOBS_DEFAULT, MAX_JOBS)
     if isinstance(limit, Err):
         return limit
     known = operator_owners.failure_domains(deps.context.settings)
-    asked = request.query.get("failure_domain", "")
-    if asked and asked not in known:
+    requested = request.query.get("failure_domain", "")
+    if requested and requested not in known:
         detail = f"failure_domain must be one of {', '.join(known)}"
         return operator_http.refuse(errors.Kind.MALFORMED_REQUEST, detail)
-    domains = [asked] if asked else known
+    domains = [requested] if requested else known
     query = placer.JobQuery("", "")
     replies = operator_owners.ask_owners(deps, domains, query)
     rows, current = [], True
@@ -36,14 +36,14 @@
         found, read_current = _jobs_of(deps, domain, replies[domain])
         rows += found
         current = current and read_current
-    rows = [row for row in rows if _wanted(row, request.query)]
+    rows = [row for row in rows if _matches(row, request.query)]
     rows.sort(key=lambda row: row["submitted_wall_ms"], reverse=True)
     silent = [domain for domain in domains if replies[domain] is None]
     shown = rows[: limit.ok_value]
     return Ok({"jobs": shown, "current": current, "unreachable": silent})
 
 
-def _wanted(row, query):
+def _matches(row, query):
     return all(
         query.get(name, "") in ("", row[name]) for name in ("team", "state", "workload")
     )
--- a/alderreach/ops/entry/operator_keepers.py
+++ b/alderreach/ops/entry/operator_keepers.py
@@ -25,7 +25,7 @@
     ``add_learner`` takes the keeper's ``name`` and ``address`` in the body. Each change
     names an identity and sets one thing, so to ask for it again does no harm.
     """
-    action = request.names["action"]
+    action = request.path_params["action"]
     if action not in ACTIONS:
         detail = f"the action must be one of {', '.join(ACTIONS)}"
         return operator_http.refuse(errors.Kind.MALFORMED_REQUEST, detail)
@@ -39,7 +39,7 @@
     if action == "add_learner" and not (_is_text(name) and _is_text(address)):
         detail = "add_learner needs the keeper's name and address"
         return operator_http.refuse(errors.Kind.MALFORMED_REQUEST, detail)
-    identity = request.names["identity"]
+    identity = request.path_params["identity"]
     done = _ask(deps, keeper.ChangeMembers(action, identity, name, address))
     if done.is_ok():
         detail = f"{request.operator}: {action} {identity}"
--- a/alderreach/ops/entry/operator_maintenance.py
+++ b/alderreach/ops/entry/operator_maintenance.py
@@ -14,8 +14,8 @@
 from alderreach.parser import configuration
 
 PREFIX = "maintenance/"
-WINDOW_MS_MAX = configuration.MONTH_MS
-NAMES_MAX = 10_000
+MAX_WINDOW_MS = configuration.MONTH_MS
+MAX_NAMES = 10_000
 ANY_VERSION = -1
 
 
@@ -50,7 +50,7 @@
         return operator_http.refuse_fields(kind, found)
     write = keeper.ItemWrite(f"{PREFIX}{window.window_id}", 0, codec.encode(window))
     summary = f"maintenance of {_names(window)} declared"
-    result = operator_changes.earlier(deps, request)
+    result = operator_changes.find_earlier_result(deps, request)
     if result is None:
         result = operator_changes.commit(deps, request, [write], summary)
     if isinstance(result, Err):
@@ -75,15 +75,15 @@
     key = operator_http.check_key(request, deps.context.settings.limits)
     if isinstance(key, Err):
         return key
-    item_key = f"{PREFIX}{request.names['window_id']}"
+    item_key = f"{PREFIX}{request.path_params['window_id']}"
     _version, items, current = operator_changes.read(deps.gateway, item_key)
     if not current:
         return operator_changes.no_quorum()
-    earlier = operator_changes.earlier(deps, request)
+    earlier = operator_changes.find_earlier_result(deps, request)
     if earlier is not None:
         return earlier
     if item_key not in items:
-        detail = f"no maintenance window {request.names['window_id']!r}"
+        detail = f"no maintenance window {request.path_params['window_id']!r}"
         return operator_http.refuse(errors.Kind.NOT_FOUND, detail)
     write = keeper.ItemWrite(item_key, ANY_VERSION, None)
     return operator_changes.commit(deps, request, [write], f"{item_key} cancelled")
@@ -104,11 +104,11 @@
         add_mistake("failure_domain", f"must be one of {', '.join(known)}")
     if not window.vms and not window.racks:
         add_mistake("vms", "name at least one VM or rack")
-    if len(window.vms) + len(window.racks) > NAMES_MAX:
-        add_mistake("vms", f"name {NAMES_MAX} VMs and racks at most")
+    if len(window.vms) + len(window.racks) > MAX_NAMES:
+        add_mistake("vms", f"name {MAX_NAMES} VMs and racks at most")
     if window.end_wall_ms <= window.start_wall_ms:
         add_mistake("end_wall_ms", "must be after the start")
-    if window.end_wall_ms - window.start_wall_ms > WINDOW_MS_MAX:
+    if window.end_wall_ms - window.start_wall_ms > MAX_WINDOW_MS:
         add_mistake("end_wall_ms", "must be within a month of the start")
     if window.end_wall_ms <= now_ms:
         add_mistake("end_wall_ms", "is past")
--- a/alderreach/ops/entry/operator_targets.py
+++ b/alderreach/ops/entry/operator_targets.py
@@ -12,11 +12,11 @@
 def show(deps, request):
     """GET /v1/targets?failure_domain=&state= : targets as their owners see them."""
     known = operator_owners.failure_domains(deps.context.settings)
-    asked = request.query.get("failure_domain", "")
-    if asked and asked not in known:
+    requested = request.query.get("failure_domain", "")
+    if requested and requested not in known:
         detail = f"failure_domain must be one of {', '.join(known)}"
         return operator_http.refuse(errors.Kind.MALFORMED_REQUEST, detail)
-    domains = [asked] if asked else known
+    domains = [requested] if requested else known
     state = request.query.get("state", "")
     query = placer.TargetQuery("")
     replies = operator_owners.ask_owners(deps, domains, query)
@@ -40,11 +40,11 @@
     key = operator_http.check_key(request, deps.context.settings.limits)
     if isinstance(key, Err):
         return key
-    target_id = request.names["target_id"]
-    earlier = operator_changes.earlier(deps, request)
+    target_id = request.path_params["target_id"]
+    earlier = operator_changes.find_earlier_result(deps, request)
     if earlier is not None:
         return earlier
-    checked = _check_silent(deps, target_id)
+    checked = _check_may_forget(deps, target_id)
     if isinstance(checked, Err):
         return checked
     value = codec.encode(request.operator)
@@ -53,7 +53,7 @@
     return operator_changes.commit(deps, request, [write], summary)
 
 
-def _check_silent(deps, target_id):
+def _check_may_forget(deps, target_id):
     """Refuse a name no owner knows, a runner, and a worker that still announces itself.
 
     Declared dead, a live worker would be left with tasks that also start elsewhere; and
@@ -67,8 +67,10 @@
         silent = [domain for domain, reply in replies.items() if reply is None]
         detail = f"no owner knows a target {target_id!r}"
         if silent:
-            asked = ", ".join(silent)
-            detail += f"; the owners of {asked} do not answer, ask again when they do"
+            requested = ", ".join(silent)
+            detail += (
+                f"; the owners of {requested} do not answer, ask again when they do"
+            )
             return operator_http.refuse(errors.Kind.NO_OWNER, detail)
         return operator_http.refuse(errors.Kind.NOT_FOUND, detail)
     if row.kind != "worker":
--- a/alderreach/ops/entry/operators.py
+++ b/alderreach/ops/entry/operators.py
@@ -58,16 +58,20 @@
 )
 # Served by the code that serves callers, so that a job is the same whoever submits it.
 JOB_ROUTES = (
-    ("POST", "/v1/jobs", lambda served, environ, _names: served.submit(environ)),
+    (
+        "POST",
+        "/v1/jobs",
+        lambda served, environ, _path_params: served.submit(environ),
+    ),
     (
         "GET",
         "/v1/jobs/{job_id}",
-        lambda served, _environ, names: served.show(names["job_id"]),
+        lambda served, _environ, path_params: served.show(path_params["job_id"]),
     ),
     (
         "DELETE",
         "/v1/jobs/{job_id}",
-        lambda served, _environ, names: served.cancel(names["job_id"]),
+        lambda served, _environ, path_params: served.cancel(path_params["job_id"]),
     ),
 )
 
@@ -100,10 +104,10 @@
 def _dispatch(deps, operator, environ):
     method, path = environ["REQUEST_METHOD"], environ.get("PATH_INFO", "")
     allowed = []
-    for route_method, handle, names in _matching(path):
+    for route_method, handle, path_params in _matching(path):
         allowed.append(route_method)
         if route_method == method:
-            return _guarded(deps, handle, operator, names, environ)
+            return _guarded(deps, handle, operator, path_params, environ)
     if not allowed:
         detail = f"nothing is served at {path}"
         refused = operator_http.refuse(errors.Kind.NOT_FOUND, detail)
@@ -117,13 +121,13 @@
 def _matching(path):
     parts = path.split("/")
     for method, pattern, handler in ROUTES:
-        names = match(_split(pattern), parts)
-        if names is not None:
-            yield method, functools.partial(_handle, handler), names
+        path_params = match(_split(pattern), parts)
+        if path_params is not None:
+            yield method, functools.partial(_handle, handler), path_params
     for method, pattern, handler in JOB_ROUTES:
-        names = match(_split(pattern), parts)
-        if names is not None:
-            yield method, functools.partial(_handle_job, handler), names
+        path_params = match(_split(pattern), parts)
+        if path_params is not None:
+            yield method, functools.partial(_handle_job, handler), path_params
 
 
 @functools.cache
@@ -139,25 +143,27 @@
     """
     if len(pattern) != len(parts):
         return None
-    names = {}
+    path_params = {}
     for wanted, part in zip(pattern, parts, strict=True):
         if wanted.startswith("{") and part:
             # The HTTP server leaves a quoted slash as it is, so that it splits no path.
-            names[wanted.strip("{}")] = part.replace("%2F", "/").replace("%2f", "/")
+            path_params[wanted.strip("{}")] = part.replace("%2F", "/").replace(
+                "%2f", "/"
+            )
         elif wanted != part:
             return None
-    return names
+    return path_params
 
 
-def _guarded(deps, handle, operator, names, environ):
+def _guarded(deps, handle, operator, path_params, environ):
     try:
-        return handle(deps, operator, names, environ)
+        return handle(deps, operator, path_params, environ)
     except Exception:
         logging.exception("fault while answering %s", environ.get("PATH_INFO"))
         return answers.problem(answers.Failure(errors.Kind.INTERNAL))
 
 
-def _handle(handler, deps, operator, names, environ):
+def _handle(handler, deps, operator, path_params, environ):
     limits = deps.context.settings.limits
     body = intake.read_body(environ, limits)
     if isinstance(body, Err):
@@ -166,7 +172,7 @@
         operator,
         environ["REQUEST_METHOD"],
         environ["PATH_INFO"],
-        names,
+        path_params,
         operator_http.read_query(environ),
         environ.get("HTTP_IDEMPOTENCY_KEY", "").strip(),
         operator_http.read_asked_wall_ms(environ),
@@ -175,8 +181,8 @@
     return operator_http.answer(handler(deps, request))
 
 
-def _handle_job(handler, deps, operator, names, environ):
-    answer = handler(deps.jobs, environ, names)
+def _handle_job(handler, deps, operator, path_params, environ):
+    answer = handler(deps.jobs, environ, path_params)
     if environ["REQUEST_METHOD"] != "GET" and answer.status < FIRST_ERROR_STATUS:
         detail = f"{operator}: {environ['REQUEST_METHOD']} {environ['PATH_INFO']}"
         deps.context.timeline.record("operator_job_change", detail=detail)
--- a/alderreach/ops/entry/requests.py
+++ b/alderreach/ops/entry/requests.py
@@ -15,7 +15,7 @@
 from alderreach.decisions import serving
 from alderreach.ops.entry import answers, intake, once, runner_wire
 
-HUNG_FACTOR = 8
+HUNG_RUN_TIME_FACTOR = 8
 FIRST_ATTEMPT_SHARE = 0.5
 ATTEMPTS_HEADER = "Alderreach-Attempts"
 FAILURES = {
@@ -69,18 +69,20 @@
         request_id = uuid.uuid4().hex
         checked = self._check(environ, service_name, request_id, arrived_ms)
         if isinstance(checked, Err):
-            answer = answers.problem(checked.err_value, request_id, (_attempts(0),))
+            answer = answers.problem(
+                checked.err_value, request_id, (_attempts_header(0),)
+            )
             refused = Ending(0, None, checked.err_value)
-            self._note(request_id, "", answer, arrived_ms, refused)
+            self._record_end(request_id, "", answer, arrived_ms, refused)
             return answer
         request = checked.ok_value
         if not request.is_idempotent and request.headers.idempotency_key:
             ending = self._serve_keyed(request)
         else:
             ending = self._attempt(request)
-        answer = _answer(request, ending)
+        answer = _make_answer(request, ending)
         team = request.headers.team
-        self._note(request_id, team, answer, arrived_ms, ending)
+        self._record_end(request_id, team, answer, arrived_ms, ending)
         return answer
 
     def _check(self, environ, service_name, request_id, arrived_ms):
@@ -91,9 +93,9 @@
             if isinstance(found, Err):
                 return found
         headers = headers.ok_value
-        known = self._get_catalog()
-        service = known.services.get(service_name)
-        if headers.team not in known.teams:
+        current_catalog = self._get_catalog()
+        service = current_catalog.services.get(service_name)
+        if headers.team not in current_catalog.teams:
             return Err(answers.Failure(errors.Kind.UNKNOWN_TEAM, headers.team))
         if service is None:
             return Err(answers.Failure(errors.Kind.UNKNOWN_SERVICE, service_name))
@@ -132,10 +134,10 @@
             reply = runner_wire.Reply(runner_wire.ANSWERED, "", *recorded)
             return Ending(0, reply, None)
         ending = self._attempt(request)
-        self._settle(keyed, ending)
+        self._record_outcome(keyed, ending)
         return ending
 
-    def _settle(self, keyed, ending):
+    def _record_outcome(self, keyed, ending):
         if ending.failure is None:
             reply = ending.reply
             self._claims.record_ran(keyed, reply.status, reply.content_type, reply.body)
@@ -148,7 +150,7 @@
         """Send to one runner after another until one answers or no more is allowed."""
         avoided, attempts, worst, previous = (), 0, None, ""
         while True:
-            ask = serving.Request(
+            runner_request = serving.Request(
                 request.request_id,
                 request.headers.team,
                 _priority(request),
@@ -157,7 +159,9 @@
                 attempts + 1,
                 previous,
             )
-            decision = self._dispatcher.ask(request.service.name, ask, avoided)
+            decision = self._dispatcher.request_runner(
+                request.service.name, runner_request, avoided
+            )
             if isinstance(decision, serving.Refusal):
                 failure = worst or answers.Failure(decision.kind)
                 wait_ms = decision.retry_after_ms
@@ -166,7 +170,7 @@
             reply = self._call(request, decision, attempts)
             if reply.result == runner_wire.ANSWERED:
                 return Ending(attempts, reply, None, decision.runner.runner_id)
-            worst = _worse(worst, reply)
+            worst = _worse_failure(worst, reply)
             if not self._may_retry(request, worst):
                 return Ending(attempts, None, worst)
             avoided += (decision.runner.runner_id,)
@@ -175,8 +179,8 @@
     def _may_retry(self, request, worst):
         if not request.may_repeat or self._clock.monotonic_ms() >= request.deadline_ms:
             return False
-        is_proved = errors.ANSWERS[worst.kind].outcome == idempotency.NOT_RUN
-        return is_proved or request.is_idempotent
+        is_proven_not_run = errors.ANSWERS[worst.kind].outcome == idempotency.NOT_RUN
+        return is_proven_not_run or request.is_idempotent
 
     def _attempt_deadline_ms(self, request, grant, attempt):
         """Until when one attempt may take.
@@ -189,8 +193,8 @@
             return request.deadline_ms
         now_ms = self._clock.monotonic_ms()
         half_ms = (request.deadline_ms - now_ms) * FIRST_ATTEMPT_SHARE
-        patience_ms = int(max(half_ms, HUNG_FACTOR * grant.run_ms))
-        return min(request.deadline_ms, now_ms + patience_ms)
+        timeout_ms = int(max(half_ms, HUNG_RUN_TIME_FACTOR * grant.run_ms))
+        return min(request.deadline_ms, now_ms + timeout_ms)
 
     def _call(self, request, grant, attempt):
         """One attempt; the dispatcher hears of its end whatever happens."""
@@ -219,10 +223,10 @@
                 ),
             )
         if reply.result != runner_wire.ANSWERED:
-            self._note_failed(request, runner, attempt, reply)
+            self._record_failed_attempt(request, runner, attempt, reply)
         return reply
 
-    def _note_failed(self, request, runner, attempt, reply):
+    def _record_failed_attempt(self, request, runner, attempt, reply):
         self._context.timeline.record(
             "request_attempt_failed",
             request_id=request.request_id,
@@ -231,26 +235,26 @@
             detail=f"attempt {attempt} {reply.result} {reply.detail}".rstrip(),
         )
 
-    def _note(self, request_id, team, answer, arrived_ms, ending):
-        took_ms = self._clock.monotonic_ms() - arrived_ms
+    def _record_end(self, request_id, team, answer, arrived_ms, ending):
+        duration_ms = self._clock.monotonic_ms() - arrived_ms
         kind = ending.failure.kind.value if ending.failure else "answered"
         self._context.metrics.count("requests", kind)
-        self._context.metrics.observe_ms("request", took_ms)
+        self._context.metrics.observe_ms("request", duration_ms)
         self._context.timeline.record(
             "request_ended",
             request_id=request_id,
             target_id=ending.target_id,
             team=team,
-            detail=f"{kind} {answer.status} after {took_ms} ms",
+            detail=f"{kind} {answer.status} after {duration_ms} ms",
         )
 
 
 def _priority(request):
-    given = request.headers.priority
-    return request.service.priority if given is None else given
+    requested = request.headers.priority
+    return request.service.priority if requested is None else requested
 
 
-def _worse(worst, reply):
+def _worse_failure(worst, reply):
     """The failure to tell of after one more attempt has failed."""
     failure = answers.Failure(FAILURES[reply.result], reply.detail)
     if worst is None or errors.ANSWERS[worst.kind].outcome == idempotency.NOT_RUN:
@@ -258,20 +262,20 @@
     return worst
 
 
-def _attempts(number):
+def _attempts_header(number):
     return (ATTEMPTS_HEADER, str(number))
 
 
-def _answer(request, ending):
+def _make_answer(request, ending):
     if ending.failure is not None:
         return answers.problem(
-            ending.failure, request.request_id, (_attempts(ending.attempts),)
+            ending.failure, request.request_id, (_attempts_header(ending.attempts),)
         )
     reply = ending.reply
     headers = (
         ("Content-Type", reply.content_type or "application/octet-stream"),
         ("Alderreach-Outcome", idempotency.RAN),
         ("Alderreach-Request-Id", request.request_id),
-        _attempts(ending.attempts),
+        _attempts_header(ending.attempts),
     )
     return answers.Answer(reply.status, headers, reply.body)
--- a/alderreach/ops/entry/runner_wire.py
+++ b/alderreach/ops/entry/runner_wire.py
@@ -23,14 +23,14 @@
 
 REQUESTS_PATH = "/v1/requests"
 CONNECT_TIMEOUT_MS = 1000
-IDLE_REUSE_MS = 3000
+MAX_IDLE_MS = 3000
 READ_BYTES = 65536
 ANSWERED = "answered"
 REFUSED = "refused"
 UNREACHABLE = "unreachable"
 TIMED_OUT = "timed_out"
 BROKEN = "broken"
-FAULTS = (
+CONNECTION_ERRORS = (
     OSError,
     ValueError,
     client.HTTPException,
@@ -58,7 +58,7 @@
     body: bytes = b""
 
 
-class _Idle(typing.NamedTuple):
+class _IdleConnection(typing.NamedTuple):
     link: connection.HTTPConnection
     since_ms: int
 
@@ -78,7 +78,7 @@
 
     def send(self, runner: placer.RunnerView, call: Call) -> Reply:
         """Send one attempt and wait until it has ended or its deadline is there."""
-        link = self._take(runner)
+        link = self._pop_idle(runner)
         if link is None:
             link = self._connect(runner, call)
         if isinstance(link, Reply):
@@ -87,10 +87,10 @@
             reply, is_reusable = self._exchange(link, runner, call)
         except (TimeoutError, urllib3.exceptions.TimeoutError):
             reply, is_reusable = Reply(TIMED_OUT), False
-        except FAULTS as error:
+        except CONNECTION_ERRORS as error:
             reply, is_reusable = Reply(BROKEN, repr(error)), False
         if is_reusable:
-            self._give_back(runner, link)
+            self._keep_idle(runner, link)
         else:
             link.close()
         return reply
@@ -99,42 +99,42 @@
         """Close what is idle towards a runner that is gone; see ``key_of``."""
         with self._lock:
             idle = self._idle.pop(runner_key, [])
-        for entry in idle:
-            entry.link.close()
+        for idle_connection in idle:
+            idle_connection.link.close()
 
     def close(self):
         """Close all idle connections."""
         for key in list(self._idle):
             self.forget(key)
 
-    def _take(self, runner):
+    def _pop_idle(self, runner):
         """A connection used lately, which the runner has surely not timed out."""
         now_ms = self._clock.monotonic_ms()
         while True:
             with self._lock:
                 idle = self._idle.get(key_of(runner))
-                entry = idle.pop() if idle else None
-            if entry is None:
+                idle_connection = idle.pop() if idle else None
+            if idle_connection is None:
                 return None
-            is_fresh = now_ms - entry.since_ms <= IDLE_REUSE_MS
-            if is_fresh and entry.link.is_connected:
-                return entry.link
-            entry.link.close()
+            is_fresh = now_ms - idle_connection.since_ms <= MAX_IDLE_MS
+            if is_fresh and idle_connection.link.is_connected:
+                return idle_connection.link
+            idle_connection.link.close()
 
-    def _give_back(self, runner, link):
+    def _keep_idle(self, runner, link):
         with self._lock:
             idle = self._idle[key_of(runner)]
-            idle.append(_Idle(link, self._clock.monotonic_ms()))
+            idle.append(_IdleConnection(link, self._clock.monotonic_ms()))
             surplus = idle.pop(0) if len(idle) > runner.connections else None
         if surplus is not None:
             surplus.link.close()
 
     def _connect(self, runner, call):
         host, _, port = runner.address.rpartition(":")
-        left_ms = call.deadline_ms - self._clock.monotonic_ms()
-        if left_ms <= 0:
+        remaining_ms = call.deadline_ms - self._clock.monotonic_ms()
+        if remaining_ms <= 0:
             return Reply(UNREACHABLE, "no time left to connect")
-        timeout_s = min(left_ms, CONNECT_TIMEOUT_MS) / 1000
+        timeout_s = min(remaining_ms, CONNECT_TIMEOUT_MS) / 1000
         link = connection.HTTPConnection(host, int(port), timeout=timeout_s)
         try:
             link.connect()
@@ -144,16 +144,16 @@
         return link
 
     def _exchange(self, link, runner, call):
-        left_ms = call.deadline_ms - self._clock.monotonic_ms()
-        if left_ms <= 0:
+        remaining_ms = call.deadline_ms - self._clock.monotonic_ms()
+        if remaining_ms <= 0:
             return Reply(UNREACHABLE, "no time left to send"), False
-        link.sock.settimeout(left_ms / 1000)
+        link.sock.settimeout(remaining_ms / 1000)
         headers = {
             "Content-Type": call.content_type,
             "Alderreach-Request-Id": call.request_id,
             "Alderreach-Attempt": str(call.attempt),
             "Alderreach-Boot-Id": runner.boot_id,
-            "Alderreach-Deadline-Ms": str(left_ms),
+            "Alderreach-Deadline-Ms": str(remaining_ms),
         }
         link.request(
             "POST",
@@ -164,9 +164,9 @@
             decode_content=False,
         )
         response = link.getresponse()
-        mistake = self._check_head(response, runner, call)
-        if mistake:
-            return Reply(BROKEN, mistake), False
+        fault = self._check_headers(response, runner, call)
+        if fault:
+            return Reply(BROKEN, fault), False
         length = int(response.headers["Content-Length"])
         body = self._read(link, response, length, call)
         if body is None:
@@ -180,7 +180,7 @@
             is_reusable,
         )
 
-    def _check_head(self, response, runner, call):
+    def _check_headers(self, response, runner, call):
         """What is wrong with an answer's headers, or an empty text."""
         expected = {
             "Alderreach-Request-Id": call.request_id,
@@ -209,33 +209,33 @@
         of the next answer. The surplus shows in the reader's buffer while one byte of
         the body is still unread, or in the socket after it.
         """
-        chunks, left = [], length
-        while left > 1:
-            self._allow(link, call)
-            chunk = response.read(min(READ_BYTES, left - 1))
+        chunks, remaining = [], length
+        while remaining > 1:
+            self._set_read_timeout(link, call)
+            chunk = response.read(min(READ_BYTES, remaining - 1))
             if not chunk:
                 return None
             chunks.append(chunk)
-            left -= len(chunk)
-        self._allow(link, call)
+            remaining -= len(chunk)
+        self._set_read_timeout(link, call)
         reader = response._fp.fp
-        if left == 0 and link.sock is not None:
+        if remaining == 0 and link.sock is not None:
             # With an empty body there is nothing to wait for.
             link.sock.settimeout(0)
-        has_surplus = reader is not None and len(reader.peek(1)) > left
+        has_surplus = reader is not None and len(reader.peek(1)) > remaining
         chunks.append(response.read(1))
         body = b"".join(chunks)
         if has_surplus or len(body) != length or _has_input(link.sock):
             return None
         return body
 
-    def _allow(self, link, call):
+    def _set_read_timeout(self, link, call):
         """Let the next read of the socket take the time that is left."""
-        left_ms = call.deadline_ms - self._clock.monotonic_ms()
-        if left_ms <= 0:
+        remaining_ms = call.deadline_ms - self._clock.monotonic_ms()
+        if remaining_ms <= 0:
             raise TimeoutError
         if link.sock is not None:
-            link.sock.settimeout(left_ms / 1000)
+            link.sock.settimeout(remaining_ms / 1000)
 
 
 def key_of(runner):
--- a/alderreach/ops/entry/service.py
+++ b/alderreach/ops/entry/service.py
@@ -26,7 +26,7 @@
 PREFIXES = ("team/", "workload/", "maintenance/", "owner/")
 DRAIN_QUIET_MS = 1000
 DRAIN_POLL_MS = 20
-DRAIN_SERVES_SHARE = 0.5
+DRAIN_SERVING_SHARE = 0.5
 READY_GRACE_MS = 3000
 OPERATOR_THREADS = 4
 
@@ -40,18 +40,20 @@
         self._catalog = catalog.EMPTY
         self._was_current = False
         limits, process = context.settings.limits, context.settings.process
-        shares = thread_shares.of(limits.http_threads)
+        shares = thread_shares.divide(limits.http_threads)
         wire = runner_wire.RunnerWire(context.clock, limits.answer_bytes)
         context.stack.callback(wire.close)
         self._dispatcher = dispatcher.Dispatcher(
             context, lambda runner: wire.forget(runner_wire.key_of(runner))
         ).start()
         context.stack.callback(self._dispatcher.close)
-        self._gateway = gateway.Gateway(context, PREFIXES, self._take_items).start()
+        self._gateway = gateway.Gateway(
+            context, PREFIXES, self._on_items_changed
+        ).start()
         context.stack.callback(self._gateway.close)
-        asked = keepers.Keepers(self._gateway, limits.http_threads)
-        self._claims = once.Once(
-            asked,
+        bounded_keepers = keepers.Keepers(self._gateway, limits.http_threads)
+        self._claims = once.KeyClaims(
+            bounded_keepers,
             context.clock,
             (process.name, context.boot_id),
             limits.kept_answer_bytes,
@@ -59,7 +61,7 @@
             lambda duration_ms: time.sleep(duration_ms / 1000),
         )
         self._in_flight = callers.InFlight(context.clock)
-        self._serve_callers(wire, asked)
+        self._serve_callers(wire, bounded_keepers)
         self._serve_operators()
 
     def deliver(self, received):
@@ -67,7 +69,7 @@
         if self._gateway.deliver(received):
             return
         if isinstance(received.message, placer.TargetsView):
-            self._dispatcher.put(received.message)
+            self._dispatcher.enqueue(received.message)
 
     def status(self):
         """The entry's state; ready once it has a configuration and its runners."""
@@ -96,13 +98,13 @@
         """
         clock = self._context.clock
         drain_ms = self._context.settings.timing.drain_ms
-        give_up_ms = clock.monotonic_ms() + drain_ms
-        refuse_ms = clock.monotonic_ms() + int(drain_ms * DRAIN_SERVES_SHARE)
-        while clock.monotonic_ms() < give_up_ms:
+        end_ms = clock.monotonic_ms() + drain_ms
+        refuse_ms = clock.monotonic_ms() + int(drain_ms * DRAIN_SERVING_SHARE)
+        while clock.monotonic_ms() < end_ms:
             if self._in_flight.is_quiet(DRAIN_QUIET_MS) and not self._claims.unrecorded:
                 return
             if clock.monotonic_ms() >= refuse_ms:
-                self._in_flight.refuse_more()
+                self._in_flight.start_refusing()
             time.sleep(DRAIN_POLL_MS / 1000)
 
     def _is_ready(self, published):
@@ -110,20 +112,22 @@
         self._was_current = self._was_current or has_copy or self._gateway.is_current
         domain = self._context.settings.process.failure_domain
         waited_ms = self._context.clock.monotonic_ms() - self._started_ms
-        knows_runners = domain in published.epochs or waited_ms > READY_GRACE_MS
-        return self._was_current and knows_runners
+        has_runner_view = domain in published.epochs or waited_ms > READY_GRACE_MS
+        return self._was_current and has_runner_view
 
-    def _take_items(self, _changed, copy):
+    def _on_items_changed(self, _changed, copy):
         self._catalog = catalog.build(copy)
-        self._dispatcher.put(self._catalog)
+        self._dispatcher.enqueue(self._catalog)
 
-    def _serve_callers(self, wire, asked):
+    def _serve_callers(self, wire, bounded_keepers):
         context, limits = self._context, self._context.settings.limits
         get_catalog = lambda: self._catalog
         served = requests.Requests(
             context, get_catalog, self._dispatcher, wire, self._claims
         )
-        job_paths = jobs.Jobs(context, get_catalog, asked, self._gateway.ask_peer)
+        job_paths = jobs.Jobs(
+            context, get_catalog, bounded_keepers, self._gateway.ask_peer
+        )
         application = callers.build(context, self, served, job_paths, self._in_flight)
         listen = context.settings.listen.callers
         self._listen(listen, application, limits.http_threads)
--- a/alderreach/ops/entry/thread_shares.py
+++ b/alderreach/ops/entry/thread_shares.py
@@ -12,15 +12,15 @@
     """The most threads for each kind of wait; the rest turns callers away."""
 
     served: int
-    questions: int
+    keeper_requests: int
     key_waits: int
 
 
-def of(http_threads):
+def divide(http_threads):
     """The shares of so many threads.
 
-    >>> of(96)
-    Shares(served=64, questions=16, key_waits=8)
+    >>> divide(96)
+    Shares(served=64, keeper_requests=16, key_waits=8)
     """
     return Shares(
         max(1, http_threads * 2 // 3),
