--- a/alderreach/ops/entry/answers.py
+++ b/alderreach/ops/entry/answers.py
@@ -1,7 +1,7 @@
-"""Answers to callers: whole ones, and problem documents (RFC 9457) for errors.
+"""Answers to callers, and problem documents (RFC 9457) for errors.
 
-Status, outcome and whether to come back follow from the kind of the error through the
-one generated table; nothing else in the entry picks a status for an error.
+The kind of an error determines status, outcome and retry advice through one generated
+table; no other code in the entry chooses the status of an error.
 """
 
 import http
@@ -19,7 +19,7 @@
 
 
 class Answer(typing.NamedTuple):
-    """What goes back to a caller."""
+    """An HTTP answer to a caller."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -27,7 +27,7 @@
 
 
 class Failure(typing.NamedTuple):
-    """Why a request has no answer; ``retry_after_ms`` is 0 if nothing is known."""
+    """Why a request failed; ``retry_after_ms`` is 0 if it is unknown."""
 
     kind: errors.Kind
     detail: str = ""
@@ -35,7 +35,7 @@
 
 
 def status_line(status):
-    """The WSGI status string.
+    """Return the WSGI status string.
 
     >>> status_line(404)
     '404 Not Found'
@@ -47,13 +47,13 @@
 
 
 def json_answer(status, value, extra=()):
-    """An answer with a JSON body."""
+    """Return an answer with a JSON body."""
     headers = (("Content-Type", JSON_TYPE), *extra)
     return Answer(status, headers, msgspec.json.encode(value))
 
 
 def problem(failure, request_id="", extra=()):
-    """The problem document of a ``Failure``."""
+    """Return the problem document for a ``Failure``."""
     answer = errors.ANSWERS[failure.kind]
     document = {
         "type": PROBLEM_URI + failure.kind.value,
--- a/alderreach/ops/entry/callers.py
+++ b/alderreach/ops/entry/callers.py
@@ -1,8 +1,8 @@
-"""The callers' HTTP: a plain WSGI callable, since a dispatcher costs three times more.
+"""The callers' HTTP interface: a plain WSGI application without a web framework.
 
-Paths are few and fixed. Whatever goes wrong in here becomes a problem document; a
-fault of the entry itself is ``internal`` with outcome unknown, since nobody can tell
-then how far the request got.
+A WSGI dispatcher costs three times more, and the paths are few and fixed. Every
+error becomes a problem document. An internal error of the entry is reported as
+``internal`` with outcome unknown, since the request may have reached a runner.
 """
 
 import re
@@ -49,23 +49,23 @@
             self._last_ms = self._clock.monotonic_ms()
 
     def start_refusing(self):
-        """Answer nothing from now on but that this process ends."""
+        """Refuse all further requests because the process is shutting down."""
         self.is_refusing = True
 
     @property
     def number(self):
-        """Requests being answered now."""
+        """Number of requests being answered now."""
         return self._number
 
     def is_quiet(self, duration_ms):
-        """Whether nothing was answered for so long and nothing is now."""
+        """Whether no request has been in progress for at least ``duration_ms``."""
         now_ms = self._clock.monotonic_ms()
         with self._lock:
             return self._number == 0 and now_ms - self._last_ms >= duration_ms
 
 
 def build(context, role, requests, jobs, in_flight):
-    """The WSGI application of the callers' listener."""
+    """Return the WSGI application of the callers' listener."""
 
     def application(environ, start_response):
         platform = daemon.platform_answer(context, role, environ.get("PATH_INFO", ""))
@@ -89,13 +89,13 @@
 
 
 def _draining_kind(environ):
-    """Under a key an earlier copy may have run: then "not-run" can't be said."""
+    """Choose the error: an earlier copy of a request with a key may have run."""
     has_key = bool(environ.get("HTTP_IDEMPOTENCY_KEY"))
     return errors.Kind.KEY_UNCHECKED if has_key else errors.Kind.DRAINING
 
 
 def refuse(status, message):
-    """The answer to bytes that never became a request of the application."""
+    """Return the answer to input that the HTTP server could not parse or accept."""
     kind = PROTOCOL_KINDS.get(status, errors.Kind.MALFORMED_REQUEST)
     if kind is errors.Kind.BODY_TOO_LARGE and HEADERS_WORD in message:
         kind = errors.Kind.HEADER_TOO_LARGE
@@ -108,7 +108,7 @@
     try:
         return _route(environ, requests, jobs)
     except Exception:
-        logging.exception("fault while answering %s", environ.get("PATH_INFO"))
+        logging.exception("internal error while answering %s", environ.get("PATH_INFO"))
         return answers.problem(answers.Failure(errors.Kind.INTERNAL))
 
 
--- a/alderreach/ops/entry/dispatcher.py
+++ b/alderreach/ops/entry/dispatcher.py
@@ -1,8 +1,9 @@
 """The task that owns admission, queues and routing of one entry.
 
-HTTP threads send it messages and wait on a ticket; they do the calls to runners
-themselves and report how those ended. The decisions are ``decisions.serving``; here
-are only the mailbox, the owners' views of their runners and the tickets.
+HTTP threads send messages to the task and wait on a ticket. They call the runners
+themselves and report how each call ended. The decisions are made in
+``decisions.serving``; this module holds the mailbox, the owners' views of their runners
+and the tickets.
 """
 
 import random
@@ -18,7 +19,7 @@
 
 
 class Submit(typing.NamedTuple):
-    """A request wants a runner; the ticket gets a Grant or a Refusal."""
+    """A request needs a runner; the ticket receives a Grant or a Refusal."""
 
     service: str
     request: serving.Request
@@ -34,14 +35,14 @@
 
 
 class Withdraw(typing.NamedTuple):
-    """The asker no longer waits; a grant that crossed this is handed back."""
+    """The HTTP thread stopped waiting; a grant already made for it is released."""
 
     service: str
     request_id: str
 
 
 class Published(typing.NamedTuple):
-    """What other threads may read of the dispatcher's state."""
+    """The part of the dispatcher's state that other threads may read."""
 
     waiting: int
     granted: int
@@ -50,7 +51,7 @@
 
 
 class Dispatcher:
-    """The task; ``on_gone(runner)`` is told of runners that are known no more."""
+    """The task; calls ``on_runner_removed(runner)`` for removed or restarted ones."""
 
     def __init__(self, context, on_runner_removed=lambda runner: None):
         self._context = context
@@ -81,7 +82,7 @@
         self._task = tasks.Task("dispatcher", self._handle, self._tick, context.clock)
 
     def start(self):
-        """Start the task; return the dispatcher."""
+        """Start the task and return the dispatcher."""
         self._task.start()
         return self
 
@@ -90,11 +91,11 @@
         self._task.close()
 
     def enqueue(self, message):
-        """Give the task any of its messages; never blocks."""
+        """Send the task one of its messages; never blocks."""
         self._task.put(message)
 
     def request_runner(self, service, request, avoided=()):
-        """Wait for a runner: a ``serving.Grant`` or a ``serving.Refusal``."""
+        """Wait for a runner; return a ``serving.Grant`` or a ``serving.Refusal``."""
         ticket = tasks.Ticket()
         self.enqueue(Submit(service, request, avoided, ticket))
         remaining_ms = max(0, request.deadline_ms - self._clock.monotonic_ms())
@@ -106,7 +107,7 @@
         return decision
 
     def report(self, service, ended):
-        """Tell how an attempt that was granted has ended."""
+        """Report how a granted attempt ended."""
         self.enqueue(Report(service, ended))
 
     def _handle(self, message):
@@ -133,7 +134,7 @@
         )
 
     def _withdraw(self, message):
-        """Forget a request, or free the runner it was granted unnoticed."""
+        """Remove a request, and free its runner if it was granted one by now."""
         self._tickets.pop(message.request_id, None)
         self._service(message.service).withdraw(message.request_id)
         grant = self._granted.get(message.request_id)
@@ -229,7 +230,7 @@
             for domain in {peer.failure_domain for peer in self._placers}:
                 self._watch(domain)
         self._publish()
-        # With nothing under way only the owners have to be asked; mail wakes the task.
+        # An idle task only has to poll the owners; any message wakes it earlier.
         is_idle = not self._granted and not self._tickets
         return self._next_watch_ms - now_ms if is_idle else None
 
@@ -249,13 +250,13 @@
         )
 
     def _free_places(self):
-        """How many more may wait in the queue, whatever their service."""
+        """Return how many more requests, of any service, may wait in the queue."""
         waiting = sum(service.waiting for service in self._services.values())
         return max(0, self._context.settings.limits.queue_length - waiting)
 
 
 def _location(settings):
-    """Where this entry stands among the entries of the cell."""
+    """Return this entry's failure domain and the number of entries around it."""
     domain = settings.process.failure_domain
     entries = [peer for peer in settings.peers if peer.role == "entry"]
     entries_in_domain = sum(peer.failure_domain == domain for peer in entries)
--- a/alderreach/ops/entry/intake.py
+++ b/alderreach/ops/entry/intake.py
@@ -1,7 +1,7 @@
-"""Reads a caller's HTTP request and checks all of it before anything is done.
+"""Reads a caller's HTTP request and checks all of it before it is processed.
 
-Whatever is wrong with headers or body ends here as a ``Failure``, so that a request
-which goes on is whole and well formed, and one that doesn't has left no trace.
+Any error in the headers or the body becomes a ``Failure`` here. A request that passes
+is complete and well formed, and one that fails has had no effect.
 """
 
 import re
@@ -21,7 +21,7 @@
 
 
 class RequestHeaders(typing.NamedTuple):
-    """The headers of a request to a service, checked; 0 and empty mean not given."""
+    """The checked headers of a request to a service; 0 and empty mean absent."""
 
     team: str
     deadline_ms: int
@@ -36,7 +36,7 @@
 
 
 def read_headers(environ, limits) -> Result:
-    """``Ok(RequestHeaders)`` or ``Err(Failure)`` that names the header."""
+    """Return ``Ok(RequestHeaders)``, or ``Err(Failure)`` that names the header."""
     kind = errors.Kind.MALFORMED_REQUEST
     team = environ.get("HTTP_ALDERREACH_TEAM", "")
     if not NAME_PATTERN.fullmatch(team):
@@ -70,21 +70,21 @@
 
 
 def is_key(key, limits):
-    """Whether a text may be an idempotency key."""
+    """Whether a text is a valid idempotency key."""
     return len(key) <= limits.key_chars and KEY_PATTERN.fullmatch(key) is not None
 
 
 def key_rule(limits):
-    """What ``is_key`` asks for, in words."""
+    """Return the rule that ``is_key`` checks, as a sentence for callers."""
     return f"Idempotency-Key must be 1 to {limits.key_chars} visible ASCII characters"
 
 
 def read_body(environ, limits) -> Result:
-    """``Ok(bytes)`` or ``Err(Failure)`` for a body that is too large, cut or slow.
+    """Return ``Ok(bytes)``, or ``Err(Failure)`` for a large, truncated or slow body.
 
-    How long it may take is up to the HTTP server, which ends a slow one by a timeout.
-    A body with two lengths is refused: a balancer that believed the other one would
-    take the rest for a second request.
+    The HTTP server limits how long a body may take, by a timeout. A body with both a
+    Content-Length and a Transfer-Encoding is refused: a balancer that used the other
+    one would treat the rest of the body as a second request.
     """
     length = environ.get("CONTENT_LENGTH", "")
     is_chunked = "chunked" in environ.get("HTTP_TRANSFER_ENCODING", "").lower()
--- a/alderreach/ops/entry/jobs.py
+++ b/alderreach/ops/entry/jobs.py
@@ -1,9 +1,9 @@
-"""Batch runs and gang jobs for callers: submit, show, cancel.
+"""Batch runs and gang jobs of callers: submit, show and cancel.
 
-A job is accepted once its item is in the keepers' log. Under an idempotency key the
-item ``submission/<team>/<hash of key>`` is written with it, all or none: a resend, at
-whichever entry and in whichever failure domain, loses the race for that item, reads it
-and is told the job that was accepted first.
+A job is accepted once its item is in the keepers' log. With an idempotency key, the
+item ``submission/<team>/<hash of key>`` is written together with it, atomically. A
+resend, through any entry of any failure domain, can't create that item again; it reads
+the item and answers with the job that was accepted first.
 """
 
 import hashlib
@@ -42,7 +42,7 @@
 
 
 class Jobs:
-    """Serves the paths below /v1/jobs; any thread may call."""
+    """Serves /v1/jobs and the paths below it; any thread may call."""
 
     def __init__(self, context, get_catalog, keepers, ask_peer):
         self._context = context
@@ -73,7 +73,7 @@
         return self._accept(job.ok_value, key, job_request.ok_value)
 
     def show(self, job_id):
-        """GET /v1/jobs/{id}: as its owner sees it, else as the log has it."""
+        """GET /v1/jobs/{id}: the owner's view, or the recorded state without one."""
         domain = self._domain_of(job_id)
         if domain is None:
             return _not_found(job_id)
@@ -86,7 +86,7 @@
         return self._show_recorded(domain, job_id)
 
     def cancel(self, job_id):
-        """DELETE /v1/jobs/{id}: accepted once it is in the log."""
+        """DELETE /v1/jobs/{id}: accepted once the cancellation is in the log."""
         domain = self._domain_of(job_id)
         if domain is None:
             return _not_found(job_id)
@@ -103,7 +103,7 @@
         return answers.json_answer(202, {"job_id": job_id, "state": "cancelling"})
 
     def _make_job(self, job_request, key):
-        """The job a job request asks for, or why there can be none."""
+        """Return ``Ok(Job)`` for a job request, or ``Err(Failure)``."""
         current_catalog = self._get_catalog()
         team = current_catalog.teams.get(job_request["team"])
         if team is None:
@@ -193,7 +193,7 @@
         return _job_answer(domain, waiting, [], "keepers")
 
     def _read(self, key):
-        """``Ok(Item or None)`` as the quorum has it, or ``Err(status)``."""
+        """Return ``Ok(Item or None)`` by a quorum read, or ``Err(status)``."""
         page = self._keepers.ask(keeper.ReadItems(key), KEEPERS_TIMEOUT_MS)
         return page.map(
             lambda page: next(
@@ -219,7 +219,7 @@
 
 
 def read_job_request(body):
-    """``Ok(Order)`` or ``Err(text)`` that names the first mistake."""
+    """Return ``Ok(JobRequest)``, or ``Err(text)`` that names the first mistake."""
     try:
         raw = _decoder.decode(body)
         unknown = sorted(set(raw) - JOB_REQUEST_KEYS)
@@ -270,7 +270,7 @@
 
 
 def _write_failure(status):
-    """A write that ended without result: refused for sure, or nobody knows."""
+    """Return the failure of a write without a result: not sent, or unconfirmed."""
     is_unsent = status in UNSENT_STATUSES
     kind = errors.Kind.NO_QUORUM if is_unsent else errors.Kind.WRITE_UNCONFIRMED
     return answers.Failure(kind)
--- a/alderreach/ops/entry/keepers.py
+++ b/alderreach/ops/entry/keepers.py
@@ -1,13 +1,13 @@
-"""Questions of HTTP threads to the keepers, few enough to leave threads for others.
+"""Requests of HTTP threads to the keepers, bounded to leave threads for other work.
 
-While the quorum is out of reach each question lasts until it times out. Without a
-bound, callers with keys and jobs would then hold every thread of the entry, and
-requests that need no quorum would find none; that they go on is promised.
+While the quorum is unreachable, each request to the keepers lasts until it times out.
+Without a bound, callers with keys and jobs would then occupy every thread of the entry,
+and requests that need no quorum, which must continue to be served, would get none.
 
-A caller in a cut-off domain should not wait for two seconds to hear what the entry
-could have told at once. After a question that got no answer at all, the next ones
-therefore get ``SILENT_TIMEOUT_MS`` until one is answered again: many times a commit
-between failure domains, and short enough for a person.
+A caller in a cut-off domain should not wait two seconds for a failure that the entry
+can predict. After a request without any response, the next ones therefore time out
+after ``UNRESPONSIVE_TIMEOUT_MS`` until one is answered again. This is many times the
+duration of a commit between failure domains, and short enough for a person.
 """
 
 import threading
@@ -23,7 +23,7 @@
 
 
 class Keepers:
-    """Asks through the gateway; any thread may call."""
+    """Sends requests to the keepers through the gateway; any thread may call."""
 
     def __init__(self, gateway, http_threads):
         shares = thread_shares.divide(http_threads)
@@ -32,7 +32,7 @@
         self._is_unresponsive = False
 
     def ask(self, command, timeout_ms) -> Result:
-        """``Ok(message)``, or ``Err(status)``: no_quorum, uncertain or busy.
+        """Return ``Ok(message)``, or ``Err(status)``: no_quorum, uncertain or busy.
 
         ``busy`` and ``no_quorum`` prove that the command is not in the log.
         """
@@ -48,7 +48,7 @@
         return _unpack(outcome)
 
     def request(self, command, done, timeout_ms):
-        """Ask without waiting; ``done(Result)`` is called on the gateway's thread."""
+        """Send without waiting; ``done(Result)`` is called on the gateway's thread."""
         self._gateway.request(
             command, lambda outcome: done(_unpack(outcome)), timeout_ms
         )
--- a/alderreach/ops/entry/once.py
+++ b/alderreach/ops/entry/once.py
@@ -1,13 +1,14 @@
-"""At most once: a keyed request is claimed in the keepers' log before it is sent.
+"""At-most-once delivery: claims a key in the keepers' log before sending its request.
 
-The order is claim, queue, send, record. The claim comes before the queue so that what
-is said of the key is true even if the request is then turned away: a resend whose
-first copy ran must hear of that answer, not that this copy was not run. An entry that
-can't learn the state of a key says ``key_unchecked``, outcome unknown, and sends
-nothing.
+The order is claim, queue, send, record. The claim comes before the queue so that the
+answer about the key is correct even if the request is then refused: a resend whose
+first copy ran must get that copy's answer, not the outcome not-run of this copy. An
+entry that can't read the state of a key answers ``key_unchecked``, outcome unknown, and
+sends nothing.
 
-A claim whose fate is uncertain is given up: this entry never sends the request, and
-records not-run under its own request id, which frees the key if the claim is there.
+A claim that may or may not be in the log is abandoned: this entry never sends the
+request, and records not-run under its own request id, which frees the key if the claim
+is in the log.
 """
 
 import threading
@@ -29,7 +30,7 @@
 
 
 class Keyed(typing.NamedTuple):
-    """What the log has to know of a request with an idempotency key."""
+    """The data of a request with an idempotency key that the log needs."""
 
     key: str
     service: str
@@ -39,7 +40,7 @@
 
 
 class Recorded(typing.NamedTuple):
-    """The answer an earlier copy of the request got."""
+    """The recorded answer to an earlier copy of the request."""
 
     status: int
     content_type: str
@@ -49,7 +50,7 @@
 class KeyClaims:
     """Claims keys and records outcomes for one entry; any thread may call.
 
-    ``pause(duration_ms)`` waits between two looks at a key that another request holds.
+    ``pause(duration_ms)`` waits between two reads of a key that another request holds.
     """
 
     def __init__(self, keepers, clock, identity, kept_answer_bytes, key_waits, pause):
@@ -64,11 +65,11 @@
 
     @property
     def unrecorded(self):
-        """Outcomes that are on their way to the log."""
+        """Number of outcomes that the log has not confirmed yet."""
         return self._unrecorded
 
     def claim(self, keyed) -> Result:
-        """``Ok(None)``: send it. ``Ok(Recorded)``: the answer. ``Err(Failure)``."""
+        """Claim a key: ``Ok(None)`` to send, ``Ok(Recorded)`` or ``Err(Failure)``."""
         found = self._record_intent(keyed)
         if isinstance(found, Err) or not self._must_wait(found.ok_value, keyed):
             return self._await_outcome(keyed, found)
@@ -86,7 +87,7 @@
         return verdict.step in (idempotency.Step.WAIT, idempotency.Step.CLAIM)
 
     def _await_outcome(self, keyed, found):
-        """Look at the key until it is this request's, or settled, or time is up."""
+        """Poll the key until it is claimed or has an outcome, or the time is up."""
         poll_ms = MIN_POLL_MS
         while True:
             if isinstance(found, Err):
@@ -109,23 +110,23 @@
             found = self._record_intent(keyed) if is_free else self._read_key(keyed)
 
     def release(self, keyed):
-        """Free the key of a claimed request that surely was not run.
+        """Free the key of a claimed request that is known not to have run.
 
-        Waits for the log, so that a caller that comes back at once finds the key free.
-        If the log doesn't confirm it, the key stays claimed and a resend hears
-        ``unknown``; the answer not-run stays true either way.
+        Waits for the log, so that a caller that retries immediately finds the key free.
+        If the log doesn't confirm it, the key stays claimed and a resend is answered
+        with ``unknown``; the answer not-run is correct in both cases.
         """
         outcome = self._outcome(keyed, idempotency.NOT_RUN, 0, "", b"")
         if self._keepers.ask(outcome, RELEASE_TIMEOUT_MS).is_err():
             self._record_in_background(outcome, MAX_RECORD_ATTEMPTS)
 
     def record_ran(self, keyed, status, content_type, body):
-        """Keep the answer of a claimed request, without holding the caller up."""
+        """Record the answer to a claimed request without delaying the caller."""
         outcome = self._outcome(keyed, idempotency.RAN, status, content_type, body)
         self._record_in_background(outcome, MAX_RECORD_ATTEMPTS)
 
     def record_unknown(self, keyed):
-        """Note that it can't be told whether a claimed request ran."""
+        """Record that it is unknown whether a claimed request ran."""
         outcome = self._outcome(keyed, idempotency.UNKNOWN, 0, "", b"")
         self._record_in_background(outcome, MAX_RECORD_ATTEMPTS)
 
@@ -148,7 +149,7 @@
         return found.map_err(_key_unchecked)
 
     def _read_key(self, keyed):
-        """A current read; the claim it finds may be another's or none."""
+        """Read the key's current state; there may be no claim, or another request's."""
         found = self._keepers.ask(
             keeper.ReadKey(keyed.key), self._keeper_timeout_ms(keyed)
         )
@@ -158,7 +159,7 @@
         return max(1, min(CLAIM_TIMEOUT_MS, self._remaining_ms(keyed)))
 
     def _abandon_claim(self, keyed):
-        """End a claim of which nobody knows whether it is in the log."""
+        """End a claim that may or may not be in the log."""
         outcome = self._outcome(keyed, idempotency.NOT_RUN, 0, "", b"")
         self._record_in_background(outcome, MAX_RECORD_ATTEMPTS)
         return Err(_key_unchecked("uncertain"))
@@ -176,7 +177,7 @@
         )
 
     def _record_in_background(self, outcome, attempts):
-        """Ask again and again: a claim without outcome stays unknown for ever."""
+        """Retry until confirmed: a claim without an outcome stays unknown for ever."""
         with self._lock:
             self._unrecorded += 1
 
@@ -188,7 +189,9 @@
             if attempts > 1:
                 self._record_in_background(outcome, attempts - 1)
             else:
-                logging.error("outcome of request %s is lost", outcome.request_id)
+                logging.error(
+                    "outcome of request %s could not be recorded", outcome.request_id
+                )
 
         self._keepers.request(outcome, done, RECORD_TIMEOUT_MS)
 
--- a/alderreach/ops/entry/operator_cell.py
+++ b/alderreach/ops/entry/operator_cell.py
@@ -1,7 +1,8 @@
-"""What operators see of the whole cell: the state of every process and the time line.
+"""The whole cell for operators: the state of every process and the time line.
 
-Each question goes to all processes of the cell at once, this one included. A process
-that does not answer in time is named, so that nobody takes its silence for calm.
+Each query goes to all processes of the cell concurrently, including this one. A process
+that does not answer in time is listed as unreachable, so that a missing answer is not
+mistaken for an idle process.
 """
 
 import concurrent.futures
@@ -60,7 +61,7 @@
 
 
 def timeline(deps, request):
-    """GET /v1/timeline: events of all processes as one line, oldest first."""
+    """GET /v1/timeline: the merged events of all processes, oldest first."""
     limit = operator_http.read_count(request, "limit", EVENTS_DEFAULT, MAX_EVENTS)
     if isinstance(limit, Err):
         return limit
@@ -81,7 +82,7 @@
 
 
 def ask_all(deps, message):
-    """Ask every process at once; its reply by name, None where none came in time."""
+    """Query all processes; return replies by name, None if none came in time."""
     peers = _all_peers(deps)
 
     def ask(peer):
@@ -93,7 +94,7 @@
 
 
 def _all_peers(deps):
-    """Every process of the cell by name; this one is asked over its own socket."""
+    """Return all processes, sorted by name; this one is queried over its own socket."""
     settings = deps.context.settings
     own = (settings.process.name, "entry", settings.process.failure_domain)
     peers = [*settings.peers, settings_schema.Peer(*own, settings.listen.peers)]
--- a/alderreach/ops/entry/operator_changes.py
+++ b/alderreach/ops/entry/operator_changes.py
@@ -1,8 +1,8 @@
-"""Changes by operators: written once, recorded with their author, answered exactly.
+"""Changes by operators: written once, recorded with their author, safe to resend.
 
-Each change carries a ``Change`` item in the same command, so that the history holds
-exactly the accepted changes. The history is bounded: now and then the entry that
-writes deletes the oldest objects.
+Each change includes a ``Change`` item in the same command, so that the history holds
+exactly the accepted changes. The history is bounded: an entry deletes the oldest
+changes after every ``TRIM_EVERY`` changes that it has written.
 """
 
 import hashlib
@@ -27,13 +27,13 @@
 
 
 def change_id(operator, idempotency_key):
-    """The id of a change; a resend through any entry gives the same."""
+    """Return the id of a change, which is the same for a resend through any entry."""
     text = f"{operator}\0{idempotency_key}".encode()
     return hashlib.sha256(text).hexdigest()[:DIGEST_CHARS]
 
 
 def read(gateway, prefix):
-    """All items under a prefix by a current read; the entry's copy without a quorum.
+    """Read all items under a prefix; from the entry's copy if there is no quorum.
 
     Returns ``(version, items by key, whether the read was current)``.
     """
@@ -46,7 +46,7 @@
 
 
 def read_copy(gateway, prefix):
-    """The items under a prefix in the entry's copy, with the copy's version."""
+    """Return the version of the entry's copy and its items under a prefix."""
     copy = gateway.items
     items = {key: item for key, item in copy.items.items() if key.startswith(prefix)}
     return copy.version, items
@@ -56,8 +56,8 @@
     """Write items for an operator: ``Ok({"result": "accepted", ...})`` or a refusal.
 
     ``writes`` are ``keeper.ItemWrite``; all of them are written or none. The keepers
-    know a resend that overtakes the first attempt by its key; call ``earlier`` first
-    for one that comes after it.
+    recognise a resend that is concurrent with the first attempt by its key; call
+    ``find_earlier_result`` first to recognise a later one.
     """
     own_id = change_id(request.operator, request.idempotency_key)
     change = common.Change(
@@ -90,7 +90,7 @@
 
 
 def no_quorum():
-    """The refusal of a change that surely was not appended by this attempt."""
+    """Return the refusal of a change that this attempt certainly did not append."""
     detail = "nothing was changed; try an entry of another failure domain, or later"
     return operator_http.refuse(errors.Kind.NO_QUORUM, detail)
 
@@ -136,11 +136,11 @@
 
 
 def find_earlier_result(deps, request):
-    """The result of this very change if it was accepted before, else None.
+    """Return the result of this change if it was accepted before, else None.
 
     The answer to an accepted change can be lost. Its resend must get the same answer,
-    whatever others changed since: checked anew it might be refused, for a mistake that
-    came later, or as a lost race against itself.
+    whatever others have changed since: if it were checked again, it could be refused
+    for a mistake that was introduced later, or for a conflict with itself.
     """
     key = f"{CHANGE_PREFIX}{change_id(request.operator, request.idempotency_key)}"
     _version, items, _current = read(deps.gateway, key)
@@ -153,7 +153,7 @@
 
 
 def digest(request):
-    """A hash of what a request asks for."""
+    """Return a hash of a request's content."""
     content = f"{request.method} {request.path}\0".encode() + request.body
     return hashlib.sha256(content).hexdigest()[:DIGEST_CHARS]
 
--- a/alderreach/ops/entry/operator_config.py
+++ b/alderreach/ops/entry/operator_config.py
@@ -1,8 +1,9 @@
-"""Operators' view of the configuration: show it, change it, who changed it.
+"""The configuration for operators: show it, change it, and its history of changes.
 
-``PUT /v1/config`` takes a list of writes, each with the version of the item it was made
-from, and optionally a ``summary`` of the change for the history. All writes are checked
-whole against the configuration in force and accepted together or not at all.
+``PUT /v1/config`` takes a list of writes, each with the version of the item that it is
+based on, and optionally a ``summary`` of the change for the history. All writes are
+checked together against the configuration in force, and accepted together or not at
+all.
 """
 
 import typing
@@ -31,7 +32,7 @@
 
 
 class Write(typing.NamedTuple):
-    """One write as asked for; ``record`` is None for a deletion."""
+    """One requested write; ``record`` is None for a deletion."""
 
     key: str
     base_version: int
@@ -39,7 +40,7 @@
 
 
 def show(deps, request):
-    """GET /v1/config?prefix= : items with their versions."""
+    """GET /v1/config?prefix= : the items under a prefix with their versions."""
     prefix = request.query.get("prefix", "")
     wanted = [known for known in PREFIXES if _overlap(known, prefix)]
     if not wanted:
@@ -59,7 +60,7 @@
 
 
 def read_config(gateway, prefixes=PREFIXES):
-    """Items and their records under the prefixes, by a current read if possible.
+    """Read the items under the prefixes and their records, currently if possible.
 
     Returns ``(version, {key: (Item, record)}, current)``.
     """
@@ -94,7 +95,7 @@
 
 
 def write(deps, request):
-    """PUT /v1/config: check all writes whole, then accept them together."""
+    """PUT /v1/config: check all writes together, then commit them atomically."""
     limits = deps.context.settings.limits
     body = operator_http.read_keyed_object(request, limits)
     if isinstance(body, Err):
@@ -105,7 +106,7 @@
     _version, items, current = read_config(deps.gateway)
     if not current:
         return operator_changes.no_quorum()
-    # After the reading, so that a change which it saw already is found here.
+    # Called after the read, so that a change whose effect was read is found here.
     earlier = operator_changes.find_earlier_result(deps, request)
     if earlier is not None:
         return earlier
@@ -120,11 +121,11 @@
 
 
 def name_claims(before, writes):
-    """Writes that claim and release the names of services, unique in the cell.
+    """Return writes that claim and release service names, unique in the cell.
 
-    Two operators may declare a service of one name for two teams at once. Each check
-    would pass, since neither is in force yet, and callers of one would reach the other;
-    the claims are one item, which only one of the two can create.
+    Two operators may declare services of the same name for two teams concurrently. Both
+    checks would pass, since neither service is in force yet, and callers of one would
+    reach the other. Both claims are the same item, which only one of them can create.
     """
     claims = []
     for entry in writes:
@@ -198,7 +199,7 @@
 
 
 def key_of(record):
-    """The key under which a record is kept."""
+    """Return the key under which a record is stored."""
     if isinstance(record, common.Team):
         return configuration.team_key(record.name)
     if isinstance(record, common.Workload):
@@ -207,7 +208,7 @@
 
 
 def apply_writes(before, writes):
-    """The configuration as it would be after the writes."""
+    """Return the configuration that the writes would result in."""
     after = dict(before)
     for entry in writes:
         after.pop(entry.key, None)
@@ -217,11 +218,11 @@
 
 
 def has_version_conflict(items, writes):
-    """Whether an item has another version by now than a write was made from.
+    """Whether an item's version has changed since the one a write is based on.
 
-    Then the keepers surely refuse the writes and tell who won. Checked against what is
-    in force by now, the loser would be blamed for mistakes that came with the winner's
-    change instead.
+    The keepers then refuse the writes and name the author of the other change. Checking
+    them against the configuration in force would instead report mistakes that the other
+    change introduced.
     """
     return any(
         one.key in items and items[one.key][0].version != one.base_version
@@ -230,7 +231,7 @@
 
 
 def check(deps, request, before, writes):
-    """Every mistake of the writes, alone and together with what is in force."""
+    """Return all mistakes of the writes, alone and with the configuration in force."""
     mistakes, touched = [], set()
     now_ms = request.asked_wall_ms or deps.context.clock.wall_ms()
     for entry in writes:
--- a/alderreach/ops/entry/operator_http.py
+++ b/alderreach/ops/entry/operator_http.py
@@ -1,8 +1,8 @@
-"""What every operator's request shares: its parts, refusals and answers.
+"""Shared parts of the operators' interface: requests, refusals and answers.
 
 Handlers are functions from a ``Request`` to ``Ok(object)`` or ``Err(Refusal)``. A
-refusal becomes a problem document with more members for programs. Bodies are read and
-problems written as for callers, by ``intake`` and ``answers``.
+refusal becomes a problem document with extension members for programs. Bodies are read
+and problems are written as for callers, by ``intake`` and ``answers``.
 """
 
 import json
@@ -19,10 +19,11 @@
 
 
 class Request(typing.NamedTuple):
-    """One authorised request; ``names`` are the variable parts of the path.
+    """One authorised request; ``path_params`` are the variable parts of the path.
 
-    ``asked_wall_ms`` is when the operator asked, by the operator's own clock; 0 if not
-    told. It is the same on a resend, as the keepers compare a resend with the first.
+    ``asked_wall_ms`` is the time of the request on the operator's own clock; 0 if not
+    given. It is the same on a resend, since the keepers compare a resend with the first
+    copy.
     """
 
     operator: str
@@ -36,7 +37,7 @@
 
 
 class Refusal(typing.NamedTuple):
-    """Why a request failed, for people, with more members for programs."""
+    """Why a request failed, for people, with extension members for programs."""
 
     kind: errors.Kind
     detail: str
@@ -44,19 +45,19 @@
 
 
 def refuse(kind, detail, **extensions):
-    """An ``Err`` with a refusal."""
+    """Return an ``Err`` with a refusal."""
     return Err(Refusal(kind, detail, extensions))
 
 
 def refuse_fields(kind, found):
-    """An ``Err`` for a list of (field, message)."""
+    """Return an ``Err`` for a list of (field, message)."""
     shown = [{"field": field, "message": message} for field, message in found]
     detail = "; ".join(f"{field}: {message}" for field, message in found)
     return refuse(kind, detail, mistakes=shown)
 
 
 def read_object(request):
-    """The body as a JSON object: ``Ok(dict)``, or a refusal that says what is wrong."""
+    """Read the body as a JSON object: ``Ok(dict)``, or a refusal that says why not."""
     try:
         value = json.loads(request.body)
     except ValueError as error:
@@ -68,12 +69,12 @@
 
 
 def read_keyed_object(request, limits):
-    """The body of a change: ``Ok(dict)``; a refusal if its key or body is unusable."""
+    """Read the body of a change: ``Ok(dict)``, or a refusal of its key or body."""
     return check_key(request, limits).and_then(lambda _key: read_object(request))
 
 
 def read_count(request, name, default, maximum):
-    """A whole number from the query: ``Ok(int)`` or a refusal."""
+    """Read a whole number from the query: ``Ok(int)`` or a refusal."""
     text = request.query.get(name, "")
     if not text:
         return Ok(default)
@@ -84,7 +85,7 @@
 
 
 def check_key(request, limits):
-    """Refuse a change without a usable Idempotency-Key: ``Ok(key)`` or a refusal."""
+    """Check that a change has a valid Idempotency-Key: ``Ok(key)`` or a refusal."""
     key = request.idempotency_key
     if intake.is_key(key, limits):
         return Ok(key)
@@ -95,19 +96,19 @@
 
 
 def read_asked_wall_ms(environ):
-    """When the operator asked, from the header; 0 if it is missing or no number."""
+    """Read the operator's request time from the header; 0 if missing or invalid."""
     text = environ.get("HTTP_ALDERREACH_ASKED_WALL_MS", "")
     return int(text) if text.isdecimal() and len(text) <= WALL_MS_DIGITS else 0
 
 
 def read_query(environ):
-    """The query string as a dictionary; of a name given twice the last one counts."""
+    """Return the query string as a dictionary; the last value of a name wins."""
     pairs = urllib.parse.parse_qsl(environ.get("QUERY_STRING", ""))
     return dict(pairs)
 
 
 def answer(result, headers=()):
-    """The ``answers.Answer`` of a handler's result."""
+    """Return the ``answers.Answer`` for a handler's result."""
     if result.is_ok():
         return answers.json_answer(200, result.ok_value, headers)
     refusal = result.err_value
--- a/alderreach/ops/entry/operator_jobs.py
+++ b/alderreach/ops/entry/operator_jobs.py
@@ -1,4 +1,4 @@
-"""Operators' list of jobs; one job is shown, submitted and cancelled as for callers."""
+"""The list of jobs for operators; single jobs are served as for callers."""
 
 from result import Err, Ok
 
@@ -17,8 +17,8 @@
 def show_all(deps, request):
     """GET /v1/jobs?team=&state=&failure_domain=&limit= : newest first.
 
-    The state comes from the owner of each domain, and where none answers, from the
-    last durable one.
+    The state comes from the owner of each domain, or from the last durable status if
+    no owner answers.
     """
     limit = operator_http.read_count(request, "limit", JOBS_DEFAULT, MAX_JOBS)
     if isinstance(limit, Err):
--- a/alderreach/ops/entry/operator_keepers.py
+++ b/alderreach/ops/entry/operator_keepers.py
@@ -1,7 +1,7 @@
-"""The keepers' membership: who votes, who only learns, and changing it by one.
+"""The keepers' membership: voters and learners, and changes of one member at a time.
 
-A keeper whose disk was lost joins again by itself; these changes are for a VM that is
-taken away for good or a new one that is added.
+A keeper that lost its disk rejoins by itself; these changes are for a VM that is
+removed permanently and for a new one that is added.
 """
 
 from result import Err, Ok
@@ -23,7 +23,7 @@
     """POST /v1/keepers/<identity>/<action>: add_learner, promote or remove.
 
     ``add_learner`` takes the keeper's ``name`` and ``address`` in the body. Each change
-    names an identity and sets one thing, so to ask for it again does no harm.
+    names an identity and sets one property, so it can safely be repeated.
     """
     action = request.path_params["action"]
     if action not in ACTIONS:
--- a/alderreach/ops/entry/operator_maintenance.py
+++ b/alderreach/ops/entry/operator_maintenance.py
@@ -1,8 +1,8 @@
-"""Maintenance windows: declared dates at which VMs and racks are stopped.
+"""Maintenance windows: declared times at which VMs and racks are stopped.
 
-A window that can't be met, say since a service's runners would not fit elsewhere, is
-accepted all the same, since the date is not ours to move; the answer says at once what
-can't be met, so that the operator can act before the date.
+A window that can't be met, for example because a service's runners would not fit
+elsewhere, is accepted all the same, since the cell can't move the date of maintenance.
+The answer warns of what can't be met, so that the operator can act before that date.
 """
 
 from result import Err, Ok
@@ -31,7 +31,7 @@
 
 
 def add(deps, request):
-    """POST /v1/maintenance: declare a window; the id is made if none is given."""
+    """POST /v1/maintenance: declare a window; an id is generated if none is given."""
     limits = deps.context.settings.limits
     body = operator_http.read_keyed_object(request, limits)
     if isinstance(body, Err):
@@ -61,7 +61,7 @@
 
 
 def _warnings(deps, window, now_ms):
-    """Why the window can't be met, as far as the domain's owner can tell."""
+    """Return why the window can't be met, according to the domain's owner."""
     domain = window.failure_domain
     reply = operator_owners.ask_owner(deps, domain, placer.TargetQuery(""))
     if reply is None:
@@ -90,7 +90,7 @@
 
 
 def check(deps, window, now_ms):
-    """Every mistake of a window that is declared at ``now_ms``."""
+    """Return all mistakes of a window that is declared at ``now_ms``."""
     key = f"{PREFIX}{window.window_id}"
     mistakes = []
 
--- a/alderreach/ops/entry/operator_owners.py
+++ b/alderreach/ops/entry/operator_owners.py
@@ -1,4 +1,4 @@
-"""Questions of operators to the owners of failure domains."""
+"""Queries from operators to the owners of failure domains."""
 
 import concurrent.futures
 
@@ -10,20 +10,20 @@
 
 
 def failure_domains(settings):
-    """All failure domains of the cell, as the settings' peers name them."""
+    """Return the failure domains of this process and of all peers in the settings."""
     names = {peer.failure_domain for peer in settings.peers}
     return sorted(names | {settings.process.failure_domain})
 
 
 def ask_owners(deps, domains, message):
-    """The reply of each domain's owner, None where no owner answered in time."""
+    """Query all owners; return their replies by domain, None if none came in time."""
     with concurrent.futures.ThreadPoolExecutor(max(1, len(domains))) as pool:
         replies = pool.map(lambda domain: ask_owner(deps, domain, message), domains)
         return dict(zip(domains, replies, strict=True))
 
 
 def ask_owner(deps, domain, message):
-    """The reply of a domain's owner; None if none of its placers answers as owner."""
+    """Return the reply of a domain's owner; None if no placer answers as owner."""
     for address in _addresses(deps, domain):
         reply = deps.gateway.ask_peer(address, message, PEER_TIMEOUT_MS)
         if reply is not None and reply.owned:
@@ -32,7 +32,7 @@
 
 
 def _addresses(deps, domain):
-    """Where the owner of a domain may be: as last told, then its other placers."""
+    """Return the last known owner's address, then the domain's other placers."""
     item = deps.gateway.items.items.get(f"{OWNER_PREFIX}{domain}")
     addresses = []
     if item is not None:
--- a/alderreach/ops/entry/operator_targets.py
+++ b/alderreach/ops/entry/operator_targets.py
@@ -1,4 +1,4 @@
-"""Operators' view of targets, asked of the owner of each failure domain."""
+"""Targets for operators, as reported by the owner of each failure domain."""
 
 from result import Err, Ok
 
@@ -34,8 +34,8 @@
 def forget(deps, request):
     """POST /v1/targets/<id>/forget: the operator declares that its VM is dead.
 
-    Tasks that were to stay on it may then start elsewhere; that is safe only if the VM
-    surely runs no more, which the system can't find out by itself.
+    Tasks that were to stay on it may then start elsewhere. That is safe only if the VM
+    has certainly stopped, which the system can't find out by itself.
     """
     key = operator_http.check_key(request, deps.context.settings.limits)
     if isinstance(key, Err):
@@ -54,10 +54,10 @@
 
 
 def _check_may_forget(deps, target_id):
-    """Refuse a name no owner knows, a runner, and a worker that still announces itself.
+    """Refuse an unknown name, a runner, and a worker that still announces itself.
 
-    Declared dead, a live worker would be left with tasks that also start elsewhere; and
-    a misspelt name would wait, unseen, for a target that one day bears it.
+    If a running worker were declared dead, its tasks would also start elsewhere. A
+    misspelt name would stay recorded and later apply to a new target of that name.
     """
     domains = operator_owners.failure_domains(deps.context.settings)
     replies = operator_owners.ask_owners(deps, domains, placer.TargetQuery(""))
--- a/alderreach/ops/entry/operator_tokens.py
+++ b/alderreach/ops/entry/operator_tokens.py
@@ -1,8 +1,8 @@
 """Bearer tokens of operators, from a file that may change while the entry runs.
 
 Each line is ``name token``; empty lines and lines that start with ``#`` are skipped.
-The file is read again when its time or size changes, so that a token is added or
-withdrawn without a restart. A file that can't be read lets nobody in.
+The file is read again when its modification time or size changes, so that tokens are
+added and revoked without a restart. If the file can't be read, no token is accepted.
 """
 
 import hmac
@@ -24,9 +24,9 @@
         self._names = {}
 
     def operator_of(self, authorization):
-        """Name of the operator an Authorization header proves, or None.
+        """Return the name of the operator whose token a header holds, or None.
 
-        Every token is compared, each in constant time, so that the time taken tells
+        Every token is compared, each in constant time, so that the duration reveals
         nothing about how much of a guess was right.
         """
         scheme, _, token = authorization.partition(" ")
@@ -49,14 +49,14 @@
                     self._stamp = stamp
             except (OSError, UnicodeDecodeError) as error:
                 logging.log_every_n_seconds(
-                    logging.ERROR, "operators' tokens not readable: %s", 60, error
+                    logging.ERROR, "can't read the operators' tokens: %s", 60, error
                 )
                 self._names, self._stamp = {}, None
             return self._names
 
 
 def parse(text):
-    """Read the lines of a token file into ``{name: token bytes}``."""
+    """Parse the lines of a token file into ``{name: token bytes}``."""
     names = {}
     for line in text.splitlines():
         words = line.split()
--- a/alderreach/ops/entry/operators.py
+++ b/alderreach/ops/entry/operators.py
@@ -1,6 +1,6 @@
-"""The operators' HTTP: a WSGI application for an address of its own.
+"""The operators' HTTP interface: a WSGI application with its own address.
 
-Every request needs a bearer token; without one nothing is read or changed. Requests
+Every request needs a bearer token; without one, nothing is read or changed. Requests
 are routed by method and path to the handlers of the ``operator_*`` modules.
 
 >>> application = build(context, gateway)  # doctest: +SKIP
@@ -34,7 +34,7 @@
 
 
 class Dependencies(typing.NamedTuple):
-    """What handlers work with."""
+    """The objects that handlers use."""
 
     context: typing.Any
     gateway: typing.Any
@@ -56,7 +56,7 @@
     ("GET", "/v1/status", operator_cell.status),
     ("GET", "/v1/timeline", operator_cell.timeline),
 )
-# Served by the code that serves callers, so that a job is the same whoever submits it.
+# Served by the same code as for callers, so that jobs don't depend on who submits them.
 JOB_ROUTES = (
     (
         "POST",
@@ -77,7 +77,7 @@
 
 
 def build(context, gateway):
-    """The WSGI application for ``listen.operators``."""
+    """Return the WSGI application for ``listen.operators``."""
     limits = context.settings.limits
     tokens = operator_tokens.Tokens(context.settings.operators.token_file)
     served_jobs = jobs.Jobs(
@@ -136,7 +136,7 @@
 
 
 def match(pattern, parts):
-    """The variable parts of a path that fits a pattern, or None.
+    """Return the variable parts of a path that matches a pattern, or None.
 
     >>> match(("", "v1", "jobs", "{job_id}"), ["", "v1", "jobs", "j7"])
     {'job_id': 'j7'}
@@ -146,7 +146,7 @@
     path_params = {}
     for wanted, part in zip(pattern, parts, strict=True):
         if wanted.startswith("{") and part:
-            # The HTTP server leaves a quoted slash as it is, so that it splits no path.
+            # The HTTP server keeps %2F as it is, so that it doesn't split a path.
             path_params[wanted.strip("{}")] = part.replace("%2F", "/").replace(
                 "%2f", "/"
             )
@@ -159,7 +159,7 @@
     try:
         return handle(deps, operator, path_params, environ)
     except Exception:
-        logging.exception("fault while answering %s", environ.get("PATH_INFO"))
+        logging.exception("internal error while answering %s", environ.get("PATH_INFO"))
         return answers.problem(answers.Failure(errors.Kind.INTERNAL))
 
 
--- a/alderreach/ops/entry/requests.py
+++ b/alderreach/ops/entry/requests.py
@@ -1,8 +1,8 @@
-"""One request to a service, from checked headers to the answer, in its HTTP thread.
+"""Serves one request to a service, from its headers to the answer, in its HTTP thread.
 
-The thread asks the dispatcher for a runner, makes the call itself and reports how it
-ended. What the caller is told follows from all attempts together: once one of them may
-have run, nothing that comes later can make the outcome not-run again.
+The thread requests a runner from the dispatcher, makes the call itself and reports how
+it ended. The outcome reported to the caller depends on all attempts: once one of them
+may have run, later attempts can't make the outcome not-run again.
 """
 
 import typing
@@ -27,7 +27,7 @@
 
 
 class Request(typing.NamedTuple):
-    """A whole, well-formed request to a service."""
+    """A complete, well-formed request to a service."""
 
     request_id: str
     service: common.Workload
@@ -39,12 +39,12 @@
 
     @property
     def may_repeat(self):
-        """Without a key, a non-idempotent request gets one attempt only."""
+        """Whether the request may be sent again: if it is idempotent or has a key."""
         return self.is_idempotent or bool(self.headers.idempotency_key)
 
 
 class Ending(typing.NamedTuple):
-    """How the attempts ended together; ``failure`` is None if there is an answer."""
+    """The result of all attempts; ``failure`` is None if there is an answer."""
 
     attempts: int
     reply: runner_wire.Reply | None
@@ -147,7 +147,7 @@
             self._claims.record_unknown(keyed)
 
     def _attempt(self, request):
-        """Send to one runner after another until one answers or no more is allowed."""
+        """Try runners in turn until one answers or no further attempt is allowed."""
         avoided, attempts, worst, previous = (), 0, None, ""
         while True:
             runner_request = serving.Request(
@@ -183,11 +183,12 @@
         return is_proven_not_run or request.is_idempotent
 
     def _attempt_deadline_ms(self, request, grant, attempt):
-        """Until when one attempt may take.
+        """Return the deadline of one attempt.
 
-        A runner that took a request and hangs would cost an idempotent one all its
-        time. Its first attempt is therefore given up while there is time for a second:
-        after half of it, and not before several times the expected run time.
+        A runner that accepts a request and hangs would use up all the time of an
+        idempotent request. Its first attempt therefore ends while there is time for a
+        second one: after ``FIRST_ATTEMPT_SHARE`` of the remaining time, but not before
+        ``HUNG_RUN_TIME_FACTOR`` times the expected run time.
         """
         if attempt > 1 or not request.is_idempotent:
             return request.deadline_ms
@@ -197,7 +198,7 @@
         return min(request.deadline_ms, now_ms + timeout_ms)
 
     def _call(self, request, grant, attempt):
-        """One attempt; the dispatcher hears of its end whatever happens."""
+        """Make one attempt; its end is always reported to the dispatcher."""
         started_ms = self._clock.monotonic_ms()
         runner = grant.runner
         call = runner_wire.Call(
@@ -255,7 +256,7 @@
 
 
 def _worse_failure(worst, reply):
-    """The failure to tell of after one more attempt has failed."""
+    """Return the failure to report once one more attempt has failed."""
     failure = answers.Failure(FAILURES[reply.result], reply.detail)
     if worst is None or errors.ANSWERS[worst.kind].outcome == idempotency.NOT_RUN:
         return failure
--- a/alderreach/ops/entry/runner_wire.py
+++ b/alderreach/ops/entry/runner_wire.py
@@ -1,12 +1,12 @@
-"""The wire to runners: one HTTP request, one whole answer or the truth about it.
+"""HTTP to runners: sends a request, returns a complete answer or the kind of failure.
 
-A runner may die while it answers, answer late on a connection that was given up, or
-send less or more than it announced. An answer is taken only if it echoes this request,
-this attempt and this boot of the runner and has exactly the length it names.
+A runner may crash while it answers, answer late on a connection that was abandoned, or
+send fewer or more bytes than it declared. An answer is accepted only if it echoes this
+request, this attempt and this boot of the runner and has exactly the declared length.
 
-``refused`` and ``unreachable`` are proofs that nothing ran: the runner said so, or no
-connection came about. Once the first byte may have been written nothing is proved any
-more, also on a reused connection that the runner had closed, so those end as
+``refused`` and ``unreachable`` prove that nothing ran: the runner said so, or no
+connection was established. Once the first byte may have been written, nothing can be
+proved, also on a reused connection that the runner had closed. Such an attempt ends as
 ``broken``.
 """
 
@@ -49,7 +49,7 @@
 
 
 class Reply(typing.NamedTuple):
-    """How an attempt ended: ``result`` is one of the constants above."""
+    """How an attempt ended; ``result`` is one of the constants above."""
 
     result: str
     detail: str = ""
@@ -66,8 +66,8 @@
 class RunnerWire:
     """Connections to runners, kept for reuse; any thread may call.
 
-    How many are open to one runner at once is bounded by the caller, which never has
-    more attempts under way there than its share of the runner's connections.
+    The caller bounds the number of connections to one runner: it never has more
+    attempts in progress there than its share of the runner's connections.
     """
 
     def __init__(self, clock, answer_bytes):
@@ -77,7 +77,7 @@
         self._idle = collections.defaultdict(list)
 
     def send(self, runner: placer.RunnerView, call: Call) -> Reply:
-        """Send one attempt and wait until it has ended or its deadline is there."""
+        """Send one attempt and wait until it ends or its deadline is reached."""
         link = self._pop_idle(runner)
         if link is None:
             link = self._connect(runner, call)
@@ -96,7 +96,7 @@
         return reply
 
     def forget(self, runner_key):
-        """Close what is idle towards a runner that is gone; see ``key_of``."""
+        """Close the idle connections to a removed runner; see ``key_of``."""
         with self._lock:
             idle = self._idle.pop(runner_key, [])
         for idle_connection in idle:
@@ -108,7 +108,7 @@
             self.forget(key)
 
     def _pop_idle(self, runner):
-        """A connection used lately, which the runner has surely not timed out."""
+        """Return a connection used recently enough that the runner has kept it open."""
         now_ms = self._clock.monotonic_ms()
         while True:
             with self._lock:
@@ -181,14 +181,14 @@
         )
 
     def _check_headers(self, response, runner, call):
-        """What is wrong with an answer's headers, or an empty text."""
+        """Return the error in an answer's headers, or an empty string."""
         expected = {
             "Alderreach-Request-Id": call.request_id,
             "Alderreach-Attempt": str(call.attempt),
             "Alderreach-Boot-Id": runner.boot_id,
         }
         if _is_refusal(response):
-            # A runner refuses a call for another boot by naming its own.
+            # A runner refuses a call meant for another boot and names its own boot.
             del expected["Alderreach-Boot-Id"]
         for name, value in expected.items():
             if response.headers.get(name) != value:
@@ -203,11 +203,11 @@
         return ""
 
     def _read(self, link, response, length, call):
-        """The whole body, or None if fewer or more bytes came than were named.
+        """Return the body, or None if fewer or more bytes came than were declared.
 
-        A runner that sends more than it names would have the rest taken for the start
-        of the next answer. The surplus shows in the reader's buffer while one byte of
-        the body is still unread, or in the socket after it.
+        Surplus bytes would be read as the start of the next answer. They are found in
+        the reader's buffer while one byte of the body is still unread, or in the socket
+        after it.
         """
         chunks, remaining = [], length
         while remaining > 1:
@@ -220,7 +220,7 @@
         self._set_read_timeout(link, call)
         reader = response._fp.fp
         if remaining == 0 and link.sock is not None:
-            # With an empty body there is nothing to wait for.
+            # An empty body needs no waiting.
             link.sock.settimeout(0)
         has_surplus = reader is not None and len(reader.peek(1)) > remaining
         chunks.append(response.read(1))
@@ -230,7 +230,7 @@
         return body
 
     def _set_read_timeout(self, link, call):
-        """Let the next read of the socket take the time that is left."""
+        """Set the timeout of the next read from the socket to the remaining time."""
         remaining_ms = call.deadline_ms - self._clock.monotonic_ms()
         if remaining_ms <= 0:
             raise TimeoutError
@@ -239,7 +239,7 @@
 
 
 def key_of(runner):
-    """What connections are kept by: a restarted runner gets new ones."""
+    """Return the key of a runner's connections; a restarted runner gets new ones."""
     return (runner.runner_id, runner.boot_id, runner.address)
 
 
@@ -249,7 +249,7 @@
 
 
 def _has_input(sock):
-    """Whether bytes wait on a socket; its end alone is none."""
+    """Whether a socket has unread bytes; end of stream does not count."""
     if sock is None or not util.wait_for_read(sock, timeout=0):
         return False
     return len(sock.recv(1, socket.MSG_PEEK)) > 0
--- a/alderreach/ops/entry/service.py
+++ b/alderreach/ops/entry/service.py
@@ -1,8 +1,8 @@
-"""The entry daemon's parts, put together.
+"""Assembles the parts of the entry daemon.
 
 HTTP threads run ``requests`` and ``jobs``; the dispatcher's task owns queues and
-routing; the gateway's task owns the copy of the configuration and the questions to the
-keepers. They share nothing but messages and immutable snapshots.
+routing; the gateway's task owns the copy of the configuration and the requests to the
+keepers. They share only messages and immutable snapshots.
 """
 
 import time
@@ -32,7 +32,7 @@
 
 
 class Entry:
-    """The role: what the daemon's frame calls."""
+    """The entry role, with the methods that ``ops.daemon`` calls."""
 
     def __init__(self, context):
         self._context = context
@@ -65,14 +65,14 @@
         self._serve_operators()
 
     def deliver(self, received):
-        """Take a peer's message."""
+        """Handle a message from a peer."""
         if self._gateway.deliver(received):
             return
         if isinstance(received.message, placer.TargetsView):
             self._dispatcher.enqueue(received.message)
 
     def status(self):
-        """The entry's state; ready once it has a configuration and its runners."""
+        """Return the entry's state; ready once it knows configuration and runners."""
         published = self._dispatcher.published
         detail = {
             "in_flight": self._in_flight.number,
@@ -89,12 +89,12 @@
         )
 
     def drain(self):
-        """Serve what comes until the balancer has gone elsewhere, then end.
+        """Serve requests until the balancer has stopped sending them, then return.
 
-        Requests that arrive while the balancer has not yet noticed are served like any
-        other, on connections that are closed after the answer: refusing them would cut
-        requests in a planned stop. Where callers go on coming for half of the time,
-        they are refused from then on, so that the end cuts nobody off.
+        Requests that arrive before the balancer has noticed the drain are served as
+        usual, on connections that are closed after the answer: refusing them would fail
+        requests during a planned stop. If callers still send requests after half of the
+        drain time, they are refused, so that the end of the process interrupts none.
         """
         clock = self._context.clock
         drain_ms = self._context.settings.timing.drain_ms
@@ -151,5 +151,5 @@
 
 
 def build(context):
-    """Make the entry and start serving; see ``ops.daemon``."""
+    """Create the entry and start serving; see ``ops.daemon``."""
     return Entry(context)
--- a/alderreach/ops/entry/thread_shares.py
+++ b/alderreach/ops/entry/thread_shares.py
@@ -1,15 +1,15 @@
-"""How the HTTP threads of one entry are shared between what they may wait for.
+"""How the HTTP threads of one entry are divided among the kinds of waits.
 
 A thread waits for a runner, for the keepers, or for another request under the same key.
-If one kind could take all threads, a caller of another kind would not even hear that it
-is turned away: its connection would lie in the server's queue until a thread came free.
+If one kind of wait could occupy all threads, requests of the other kinds could not even
+be refused: their connections would stay in the server's queue until a thread was free.
 """
 
 import typing
 
 
 class Shares(typing.NamedTuple):
-    """The most threads for each kind of wait; the rest turns callers away."""
+    """Maximum threads for each kind of wait; the others answer with refusals."""
 
     served: int
     keeper_requests: int
@@ -17,7 +17,7 @@
 
 
 def divide(http_threads):
-    """The shares of so many threads.
+    """Return the shares of ``http_threads`` threads.
 
     >>> divide(96)
     Shares(served=64, keeper_requests=16, key_waits=8)
