--- a/alderreach/ops/entry/callers.py
+++ b/alderreach/ops/entry/callers.py
@@ -1,8 +1,8 @@
-"""The callers' HTTP: a plain WSGI callable, since a dispatcher costs three times more.
+"""The callers' HTTP interface: a plain WSGI application without a web framework.
 
-Paths are few and fixed. Whatever goes wrong in here becomes a problem document; a
-fault of the entry itself is ``internal`` with outcome unknown, since nobody can tell
-then how far the request got.
+A WSGI dispatcher costs three times more, and the paths are few and fixed. Every
+error becomes a problem document. An internal error of the entry is reported as
+``internal`` with outcome unknown, since the request may have reached a runner.
 """
 
 import re
@@ -35,7 +35,7 @@
         self._lock = threading.Lock()
         self._number = 0
         self._last_ms = clock.monotonic_ms()
-        self.refuses = False
+        self.is_refusing = False
 
     def __enter__(self):
         with self._lock:
@@ -48,24 +48,24 @@
             self._number -= 1
             self._last_ms = self._clock.monotonic_ms()
 
-    def refuse_more(self):
-        """Answer nothing from now on but that this process ends."""
-        self.refuses = True
+    def start_refusing(self):
+        """Refuse all further requests because the process is shutting down."""
+        self.is_refusing = True
 
     @property
     def number(self):
-        """Requests being answered now."""
+        """Number of requests being answered now."""
         return self._number
 
     def is_quiet(self, duration_ms):
-        """Whether nothing was answered for so long and nothing is now."""
+        """Whether no request has been in progress for at least ``duration_ms``."""
         now_ms = self._clock.monotonic_ms()
         with self._lock:
             return self._number == 0 and now_ms - self._last_ms >= duration_ms
 
 
 def build(context, role, requests, jobs, in_flight):
-    """The WSGI application of the callers' listener."""
+    """Return the WSGI application of the callers' listener."""
 
     def application(environ, start_response):
         platform = daemon.platform_answer(context, role, environ.get("PATH_INFO", ""))
@@ -75,7 +75,7 @@
             headers.append(("Content-Length", str(len(body))))
             start_response(status, headers)
             return [body]
-        if in_flight.refuses:
+        if in_flight.is_refusing:
             answer = answers.problem(answers.Failure(_draining_kind(environ)))
         else:
             with in_flight:
@@ -89,13 +89,13 @@
 
 
 def _draining_kind(environ):
-    """Under a key an earlier copy may have run: then "not-run" can't be said."""
+    """Choose the error: an earlier copy of a request with a key may have run."""
     has_key = bool(environ.get("HTTP_IDEMPOTENCY_KEY"))
     return errors.Kind.KEY_UNCHECKED if has_key else errors.Kind.DRAINING
 
 
 def refuse(status, message):
-    """The answer to bytes that never became a request of the application."""
+    """Return the answer to input that the HTTP server could not parse or accept."""
     kind = PROTOCOL_KINDS.get(status, errors.Kind.MALFORMED_REQUEST)
     if kind is errors.Kind.BODY_TOO_LARGE and HEADERS_WORD in message:
         kind = errors.Kind.HEADER_TOO_LARGE
@@ -108,7 +108,7 @@
     try:
         return _route(environ, requests, jobs)
     except Exception:
-        logging.exception("fault while answering %s", environ.get("PATH_INFO"))
+        logging.exception("internal error while answering %s", environ.get("PATH_INFO"))
         return answers.problem(answers.Failure(errors.Kind.INTERNAL))
 
 
@@ -116,18 +116,18 @@
     path, method = environ.get("PATH_INFO", ""), environ["REQUEST_METHOD"]
     service = SERVICE_PATH.fullmatch(path)
     if service:
-        return _only("POST", method) or requests.serve(environ, service[1])
+        return _check_method("POST", method) or requests.serve(environ, service[1])
     if path == JOBS_PATH:
-        return _only("POST", method) or jobs.submit(environ)
+        return _check_method("POST", method) or jobs.submit(environ)
     job = JOB_PATH.fullmatch(path)
     if job and method == "GET":
         return jobs.show(job[1])
     if job:
-        return _only("DELETE", method) or jobs.cancel(job[1])
+        return _check_method("DELETE", method) or jobs.cancel(job[1])
     return answers.problem(answers.Failure(errors.Kind.NOT_FOUND, path))
 
 
-def _only(allowed, method):
+def _check_method(allowed, method):
     if method == allowed:
         return None
     failure = answers.Failure(errors.Kind.METHOD_NOT_ALLOWED, f"{method}: {allowed}")
--- a/alderreach/ops/entry/intake.py
+++ b/alderreach/ops/entry/intake.py
@@ -1,7 +1,7 @@
-"""Reads a caller's HTTP request and checks all of it before anything is done.
+"""Reads a caller's HTTP request and checks all of it before it is processed.
 
-Whatever is wrong with headers or body ends here as a ``Failure``, so that a request
-which goes on is whole and well formed, and one that doesn't has left no trace.
+Any error in the headers or the body becomes a ``Failure`` here. A request that passes
+is complete and well formed, and one that fails has had no effect.
 """
 
 import re
@@ -17,11 +17,11 @@
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
 KEY_PATTERN = re.compile(r"[\x21-\x7e]+")
 NUMBER_PATTERN = re.compile(r"[0-9]{1,12}")
-TRUE_WORDS = {"true": True, "false": False, "": False}
+BOOLEAN_WORDS = {"true": True, "false": False, "": False}
 
 
 class RequestHeaders(typing.NamedTuple):
-    """The headers of a request to a service, checked; 0 and empty mean not given."""
+    """The checked headers of a request to a service; 0 and empty mean absent."""
 
     team: str
     deadline_ms: int
@@ -36,7 +36,7 @@
 
 
 def read_headers(environ, limits) -> Result:
-    """``Ok(RequestHeaders)`` or ``Err(Failure)`` that names the header."""
+    """Return ``Ok(RequestHeaders)``, or ``Err(Failure)`` that names the header."""
     kind = errors.Kind.MALFORMED_REQUEST
     team = environ.get("HTTP_ALDERREACH_TEAM", "")
     if not NAME_PATTERN.fullmatch(team):
@@ -49,7 +49,7 @@
         detail = f"Alderreach-Deadline-Ms must be from 1 to {limits.deadline_max_ms}"
         return _refuse(kind, detail)
     word = environ.get("HTTP_ALDERREACH_NON_IDEMPOTENT", "").lower()
-    if word not in TRUE_WORDS:
+    if word not in BOOLEAN_WORDS:
         return _refuse(kind, "Alderreach-Non-Idempotent must be true or false")
     key = environ.get("HTTP_IDEMPOTENCY_KEY", "")
     if key and not is_key(key, limits):
@@ -61,7 +61,7 @@
         RequestHeaders(
             team,
             deadline_ms,
-            TRUE_WORDS[word],
+            BOOLEAN_WORDS[word],
             key,
             int(priority) if priority else None,
             environ.get("CONTENT_TYPE", "") or "application/octet-stream",
@@ -70,21 +70,21 @@
 
 
 def is_key(key, limits):
-    """Whether a text may be an idempotency key."""
+    """Whether a text is a valid idempotency key."""
     return len(key) <= limits.key_chars and KEY_PATTERN.fullmatch(key) is not None
 
 
 def key_rule(limits):
-    """What ``is_key`` asks for, in words."""
+    """Return the rule that ``is_key`` checks, as a sentence for callers."""
     return f"Idempotency-Key must be 1 to {limits.key_chars} visible ASCII characters"
 
 
 def read_body(environ, limits) -> Result:
-    """``Ok(bytes)`` or ``Err(Failure)`` for a body that is too large, cut or slow.
+    """Return ``Ok(bytes)``, or ``Err(Failure)`` for a large, truncated or slow body.
 
-    How long it may take is up to the HTTP server, which ends a slow one by a timeout.
-    A body with two lengths is refused: a balancer that believed the other one would
-    take the rest for a second request.
+    The HTTP server limits how long a body may take, by a timeout. A body with both a
+    Content-Length and a Transfer-Encoding is refused: a balancer that used the other
+    one would treat the rest of the body as a second request.
     """
     length = environ.get("CONTENT_LENGTH", "")
     is_chunked = "chunked" in environ.get("HTTP_TRANSFER_ENCODING", "").lower()
--- a/alderreach/ops/entry/operator_keepers.py
+++ b/alderreach/ops/entry/operator_keepers.py
@@ -1,7 +1,7 @@
-"""The keepers' membership: who votes, who only learns, and changing it by one.
+"""The keepers' membership: voters and learners, and changes of one member at a time.
 
-A keeper whose disk was lost joins again by itself; these changes are for a VM that is
-taken away for good or a new one that is added.
+A keeper that lost its disk rejoins by itself; these changes are for a VM that is
+removed permanently and for a new one that is added.
 """
 
 from result import Err, Ok
@@ -23,9 +23,9 @@
     """POST /v1/keepers/<identity>/<action>: add_learner, promote or remove.
 
     ``add_learner`` takes the keeper's ``name`` and ``address`` in the body. Each change
-    names an identity and sets one thing, so to ask for it again does no harm.
+    names an identity and sets one property, so it can safely be repeated.
     """
-    action = request.names["action"]
+    action = request.path_params["action"]
     if action not in ACTIONS:
         detail = f"the action must be one of {', '.join(ACTIONS)}"
         return operator_http.refuse(errors.Kind.MALFORMED_REQUEST, detail)
@@ -39,7 +39,7 @@
     if action == "add_learner" and not (_is_text(name) and _is_text(address)):
         detail = "add_learner needs the keeper's name and address"
         return operator_http.refuse(errors.Kind.MALFORMED_REQUEST, detail)
-    identity = request.names["identity"]
+    identity = request.path_params["identity"]
     done = _ask(deps, keeper.ChangeMembers(action, identity, name, address))
     if done.is_ok():
         detail = f"{request.operator}: {action} {identity}"
--- a/alderreach/ops/entry/operators.py
+++ b/alderreach/ops/entry/operators.py
@@ -1,6 +1,6 @@
-"""The operators' HTTP: a WSGI application for an address of its own.
+"""The operators' HTTP interface: a WSGI application with its own address.
 
-Every request needs a bearer token; without one nothing is read or changed. Requests
+Every request needs a bearer token; without one, nothing is read or changed. Requests
 are routed by method and path to the handlers of the ``operator_*`` modules.
 
 >>> application = build(context, gateway)  # doctest: +SKIP
@@ -34,7 +34,7 @@
 
 
 class Dependencies(typing.NamedTuple):
-    """What handlers work with."""
+    """The objects that handlers use."""
 
     context: typing.Any
     gateway: typing.Any
@@ -56,24 +56,28 @@
     ("GET", "/v1/status", operator_cell.status),
     ("GET", "/v1/timeline", operator_cell.timeline),
 )
-# Served by the code that serves callers, so that a job is the same whoever submits it.
+# Served by the same code as for callers, so that jobs don't depend on who submits them.
 JOB_ROUTES = (
-    ("POST", "/v1/jobs", lambda served, environ, _names: served.submit(environ)),
+    (
+        "POST",
+        "/v1/jobs",
+        lambda served, environ, _path_params: served.submit(environ),
+    ),
     (
         "GET",
         "/v1/jobs/{job_id}",
-        lambda served, _environ, names: served.show(names["job_id"]),
+        lambda served, _environ, path_params: served.show(path_params["job_id"]),
     ),
     (
         "DELETE",
         "/v1/jobs/{job_id}",
-        lambda served, _environ, names: served.cancel(names["job_id"]),
+        lambda served, _environ, path_params: served.cancel(path_params["job_id"]),
     ),
 )
 
 
 def build(context, gateway):
-    """The WSGI application for ``listen.operators``."""
+    """Return the WSGI application for ``listen.operators``."""
     limits = context.settings.limits
     tokens = operator_tokens.Tokens(context.settings.operators.token_file)
     served_jobs = jobs.Jobs(
@@ -100,10 +104,10 @@
 def _dispatch(deps, operator, environ):
     method, path = environ["REQUEST_METHOD"], environ.get("PATH_INFO", "")
     allowed = []
-    for route_method, handle, names in _matching(path):
+    for route_method, handle, path_params in _matching(path):
         allowed.append(route_method)
         if route_method == method:
-            return _guarded(deps, handle, operator, names, environ)
+            return _guarded(deps, handle, operator, path_params, environ)
     if not allowed:
         detail = f"nothing is served at {path}"
         refused = operator_http.refuse(errors.Kind.NOT_FOUND, detail)
@@ -117,13 +121,13 @@
 def _matching(path):
     parts = path.split("/")
     for method, pattern, handler in ROUTES:
-        names = match(_split(pattern), parts)
-        if names is not None:
-            yield method, functools.partial(_handle, handler), names
+        path_params = match(_split(pattern), parts)
+        if path_params is not None:
+            yield method, functools.partial(_handle, handler), path_params
     for method, pattern, handler in JOB_ROUTES:
-        names = match(_split(pattern), parts)
-        if names is not None:
-            yield method, functools.partial(_handle_job, handler), names
+        path_params = match(_split(pattern), parts)
+        if path_params is not None:
+            yield method, functools.partial(_handle_job, handler), path_params
 
 
 @functools.cache
@@ -132,32 +136,34 @@
 
 
 def match(pattern, parts):
-    """The variable parts of a path that fits a pattern, or None.
+    """Return the variable parts of a path that matches a pattern, or None.
 
     >>> match(("", "v1", "jobs", "{job_id}"), ["", "v1", "jobs", "j7"])
     {'job_id': 'j7'}
     """
     if len(pattern) != len(parts):
         return None
-    names = {}
+    path_params = {}
     for wanted, part in zip(pattern, parts, strict=True):
         if wanted.startswith("{") and part:
-            # The HTTP server leaves a quoted slash as it is, so that it splits no path.
-            names[wanted.strip("{}")] = part.replace("%2F", "/").replace("%2f", "/")
+            # The HTTP server keeps %2F as it is, so that it doesn't split a path.
+            path_params[wanted.strip("{}")] = part.replace("%2F", "/").replace(
+                "%2f", "/"
+            )
         elif wanted != part:
             return None
-    return names
+    return path_params
 
 
-def _guarded(deps, handle, operator, names, environ):
+def _guarded(deps, handle, operator, path_params, environ):
     try:
-        return handle(deps, operator, names, environ)
+        return handle(deps, operator, path_params, environ)
     except Exception:
-        logging.exception("fault while answering %s", environ.get("PATH_INFO"))
+        logging.exception("internal error while answering %s", environ.get("PATH_INFO"))
         return answers.problem(answers.Failure(errors.Kind.INTERNAL))
 
 
-def _handle(handler, deps, operator, names, environ):
+def _handle(handler, deps, operator, path_params, environ):
     limits = deps.context.settings.limits
     body = intake.read_body(environ, limits)
     if isinstance(body, Err):
@@ -166,7 +172,7 @@
         operator,
         environ["REQUEST_METHOD"],
         environ["PATH_INFO"],
-        names,
+        path_params,
         operator_http.read_query(environ),
         environ.get("HTTP_IDEMPOTENCY_KEY", "").strip(),
         operator_http.read_asked_wall_ms(environ),
@@ -175,8 +181,8 @@
     return operator_http.answer(handler(deps, request))
 
 
-def _handle_job(handler, deps, operator, names, environ):
-    answer = handler(deps.jobs, environ, names)
+def _handle_job(handler, deps, operator, path_params, environ):
+    answer = handler(deps.jobs, environ, path_params)
     if environ["REQUEST_METHOD"] != "GET" and answer.status < FIRST_ERROR_STATUS:
         detail = f"{operator}: {environ['REQUEST_METHOD']} {environ['PATH_INFO']}"
         deps.context.timeline.record("operator_job_change", detail=detail)
--- a/alderreach/ops/entry/runner_wire.py
+++ b/alderreach/ops/entry/runner_wire.py
@@ -1,12 +1,12 @@
-"""The wire to runners: one HTTP request, one whole answer or the truth about it.
+"""HTTP to runners: sends a request, returns a complete answer or the kind of failure.
 
-A runner may die while it answers, answer late on a connection that was given up, or
-send less or more than it announced. An answer is taken only if it echoes this request,
-this attempt and this boot of the runner and has exactly the length it names.
+A runner may crash while it answers, answer late on a connection that was abandoned, or
+send fewer or more bytes than it declared. An answer is accepted only if it echoes this
+request, this attempt and this boot of the runner and has exactly the declared length.
 
-``refused`` and ``unreachable`` are proofs that nothing ran: the runner said so, or no
-connection came about. Once the first byte may have been written nothing is proved any
-more, also on a reused connection that the runner had closed, so those end as
+``refused`` and ``unreachable`` prove that nothing ran: the runner said so, or no
+connection was established. Once the first byte may have been written, nothing can be
+proved, also on a reused connection that the runner had closed. Such an attempt ends as
 ``broken``.
 """
 
@@ -23,14 +23,14 @@
 
 REQUESTS_PATH = "/v1/requests"
 CONNECT_TIMEOUT_MS = 1000
-IDLE_REUSE_MS = 3000
+MAX_IDLE_MS = 3000
 READ_BYTES = 65536
 ANSWERED = "answered"
 REFUSED = "refused"
 UNREACHABLE = "unreachable"
 TIMED_OUT = "timed_out"
 BROKEN = "broken"
-FAULTS = (
+CONNECTION_ERRORS = (
     OSError,
     ValueError,
     client.HTTPException,
@@ -49,7 +49,7 @@
 
 
 class Reply(typing.NamedTuple):
-    """How an attempt ended: ``result`` is one of the constants above."""
+    """How an attempt ended; ``result`` is one of the constants above."""
 
     result: str
     detail: str = ""
@@ -58,7 +58,7 @@
     body: bytes = b""
 
 
-class _Idle(typing.NamedTuple):
+class _IdleConnection(typing.NamedTuple):
     link: connection.HTTPConnection
     since_ms: int
 
@@ -66,8 +66,8 @@
 class RunnerWire:
     """Connections to runners, kept for reuse; any thread may call.
 
-    How many are open to one runner at once is bounded by the caller, which never has
-    more attempts under way there than its share of the runner's connections.
+    The caller bounds the number of connections to one runner: it never has more
+    attempts in progress there than its share of the runner's connections.
     """
 
     def __init__(self, clock, answer_bytes):
@@ -77,8 +77,8 @@
         self._idle = collections.defaultdict(list)
 
     def send(self, runner: placer.RunnerView, call: Call) -> Reply:
-        """Send one attempt and wait until it has ended or its deadline is there."""
-        link = self._take(runner)
+        """Send one attempt and wait until it ends or its deadline is reached."""
+        link = self._pop_idle(runner)
         if link is None:
             link = self._connect(runner, call)
         if isinstance(link, Reply):
@@ -87,54 +87,54 @@
             reply, is_reusable = self._exchange(link, runner, call)
         except (TimeoutError, urllib3.exceptions.TimeoutError):
             reply, is_reusable = Reply(TIMED_OUT), False
-        except FAULTS as error:
+        except CONNECTION_ERRORS as error:
             reply, is_reusable = Reply(BROKEN, repr(error)), False
         if is_reusable:
-            self._give_back(runner, link)
+            self._keep_idle(runner, link)
         else:
             link.close()
         return reply
 
     def forget(self, runner_key):
-        """Close what is idle towards a runner that is gone; see ``key_of``."""
+        """Close the idle connections to a removed runner; see ``key_of``."""
         with self._lock:
             idle = self._idle.pop(runner_key, [])
-        for entry in idle:
-            entry.link.close()
+        for idle_connection in idle:
+            idle_connection.link.close()
 
     def close(self):
         """Close all idle connections."""
         for key in list(self._idle):
             self.forget(key)
 
-    def _take(self, runner):
-        """A connection used lately, which the runner has surely not timed out."""
+    def _pop_idle(self, runner):
+        """Return a connection used recently enough that the runner has kept it open."""
         now_ms = self._clock.monotonic_ms()
         while True:
             with self._lock:
                 idle = self._idle.get(key_of(runner))
-                entry = idle.pop() if idle else None
-            if entry is None:
+                idle_connection = idle.pop() if idle else None
+            if idle_connection is None:
                 return None
-            is_fresh = now_ms - entry.since_ms <= IDLE_REUSE_MS
-            if is_fresh and entry.link.is_connected:
-                return entry.link
-            entry.link.close()
+            is_fresh = now_ms - idle_connection.since_ms <= MAX_IDLE_MS
+            if is_fresh and idle_connection.link.is_connected:
+                return idle_connection.link
+            idle_connection.link.close()
 
-    def _give_back(self, runner, link):
+    def _keep_idle(self, runner, link):
         with self._lock:
             idle = self._idle[key_of(runner)]
-            idle.append(_Idle(link, self._clock.monotonic_ms()))
+            idle.append(_IdleConnection(link, self._clock.monotonic_ms()))
             surplus = idle.pop(0) if len(idle) > runner.connections else None
         if surplus is not None:
             surplus.link.close()
 
     def _connect(self, runner, call):
         host, _, port = runner.address.rpartition(":")
-        left_ms = call.deadline_ms - self._clock.monotonic_ms()
-        if left_ms <= 0:
+        remaining_ms = call.deadline_ms - self._clock.monotonic_ms()
+        if remaining_ms <= 0:
             return Reply(UNREACHABLE, "no time left to connect")
-        timeout_s = min(left_ms, CONNECT_TIMEOUT_MS) / 1000
+        timeout_s = min(remaining_ms, CONNECT_TIMEOUT_MS) / 1000
         link = connection.HTTPConnection(host, int(port), timeout=timeout_s)
         try:
             link.connect()
@@ -144,16 +144,16 @@
         return link
 
     def _exchange(self, link, runner, call):
-        left_ms = call.deadline_ms - self._clock.monotonic_ms()
-        if left_ms <= 0:
+        remaining_ms = call.deadline_ms - self._clock.monotonic_ms()
+        if remaining_ms <= 0:
             return Reply(UNREACHABLE, "no time left to send"), False
-        link.sock.settimeout(left_ms / 1000)
+        link.sock.settimeout(remaining_ms / 1000)
         headers = {
             "Content-Type": call.content_type,
             "Alderreach-Request-Id": call.request_id,
             "Alderreach-Attempt": str(call.attempt),
             "Alderreach-Boot-Id": runner.boot_id,
-            "Alderreach-Deadline-Ms": str(left_ms),
+            "Alderreach-Deadline-Ms": str(remaining_ms),
         }
         link.request(
             "POST",
@@ -164,9 +164,9 @@
             decode_content=False,
         )
         response = link.getresponse()
-        mistake = self._check_head(response, runner, call)
-        if mistake:
-            return Reply(BROKEN, mistake), False
+        fault = self._check_headers(response, runner, call)
+        if fault:
+            return Reply(BROKEN, fault), False
         length = int(response.headers["Content-Length"])
         body = self._read(link, response, length, call)
         if body is None:
@@ -180,15 +180,15 @@
             is_reusable,
         )
 
-    def _check_head(self, response, runner, call):
-        """What is wrong with an answer's headers, or an empty text."""
+    def _check_headers(self, response, runner, call):
+        """Return the error in an answer's headers, or an empty string."""
         expected = {
             "Alderreach-Request-Id": call.request_id,
             "Alderreach-Attempt": str(call.attempt),
             "Alderreach-Boot-Id": runner.boot_id,
         }
         if _is_refusal(response):
-            # A runner refuses a call for another boot by naming its own.
+            # A runner refuses a call meant for another boot and names its own boot.
             del expected["Alderreach-Boot-Id"]
         for name, value in expected.items():
             if response.headers.get(name) != value:
@@ -203,43 +203,43 @@
         return ""
 
     def _read(self, link, response, length, call):
-        """The whole body, or None if fewer or more bytes came than were named.
+        """Return the body, or None if fewer or more bytes came than were declared.
 
-        A runner that sends more than it names would have the rest taken for the start
-        of the next answer. The surplus shows in the reader's buffer while one byte of
-        the body is still unread, or in the socket after it.
+        Surplus bytes would be read as the start of the next answer. They are found in
+        the reader's buffer while one byte of the body is still unread, or in the socket
+        after it.
         """
-        chunks, left = [], length
-        while left > 1:
-            self._allow(link, call)
-            chunk = response.read(min(READ_BYTES, left - 1))
+        chunks, remaining = [], length
+        while remaining > 1:
+            self._set_read_timeout(link, call)
+            chunk = response.read(min(READ_BYTES, remaining - 1))
             if not chunk:
                 return None
             chunks.append(chunk)
-            left -= len(chunk)
-        self._allow(link, call)
+            remaining -= len(chunk)
+        self._set_read_timeout(link, call)
         reader = response._fp.fp
-        if left == 0 and link.sock is not None:
-            # With an empty body there is nothing to wait for.
+        if remaining == 0 and link.sock is not None:
+            # An empty body needs no waiting.
             link.sock.settimeout(0)
-        has_surplus = reader is not None and len(reader.peek(1)) > left
+        has_surplus = reader is not None and len(reader.peek(1)) > remaining
         chunks.append(response.read(1))
         body = b"".join(chunks)
         if has_surplus or len(body) != length or _has_input(link.sock):
             return None
         return body
 
-    def _allow(self, link, call):
-        """Let the next read of the socket take the time that is left."""
-        left_ms = call.deadline_ms - self._clock.monotonic_ms()
-        if left_ms <= 0:
+    def _set_read_timeout(self, link, call):
+        """Set the timeout of the next read from the socket to the remaining time."""
+        remaining_ms = call.deadline_ms - self._clock.monotonic_ms()
+        if remaining_ms <= 0:
             raise TimeoutError
         if link.sock is not None:
-            link.sock.settimeout(left_ms / 1000)
+            link.sock.settimeout(remaining_ms / 1000)
 
 
 def key_of(runner):
-    """What connections are kept by: a restarted runner gets new ones."""
+    """Return the key of a runner's connections; a restarted runner gets new ones."""
     return (runner.runner_id, runner.boot_id, runner.address)
 
 
@@ -249,7 +249,7 @@
 
 
 def _has_input(sock):
-    """Whether bytes wait on a socket; its end alone is none."""
+    """Whether a socket has unread bytes; end of stream does not count."""
     if sock is None or not util.wait_for_read(sock, timeout=0):
         return False
     return len(sock.recv(1, socket.MSG_PEEK)) > 0
--- a/alderreach/ops/entry/service.py
+++ b/alderreach/ops/entry/service.py
@@ -1,8 +1,8 @@
-"""The entry daemon's parts, put together.
+"""Assembles the parts of the entry daemon.
 
 HTTP threads run ``requests`` and ``jobs``; the dispatcher's task owns queues and
-routing; the gateway's task owns the copy of the configuration and the questions to the
-keepers. They share nothing but messages and immutable snapshots.
+routing; the gateway's task owns the copy of the configuration and the requests to the
+keepers. They share only messages and immutable snapshots.
 """
 
 import time
@@ -26,13 +26,13 @@
 PREFIXES = ("team/", "workload/", "maintenance/", "owner/")
 DRAIN_QUIET_MS = 1000
 DRAIN_POLL_MS = 20
-DRAIN_SERVES_SHARE = 0.5
+DRAIN_SERVING_SHARE = 0.5
 READY_GRACE_MS = 3000
 OPERATOR_THREADS = 4
 
 
 class Entry:
-    """The role: what the daemon's frame calls."""
+    """The entry role, with the methods that ``ops.daemon`` calls."""
 
     def __init__(self, context):
         self._context = context
@@ -40,18 +40,20 @@
         self._catalog = catalog.EMPTY
         self._was_current = False
         limits, process = context.settings.limits, context.settings.process
-        shares = thread_shares.of(limits.http_threads)
+        shares = thread_shares.divide(limits.http_threads)
         wire = runner_wire.RunnerWire(context.clock, limits.answer_bytes)
         context.stack.callback(wire.close)
         self._dispatcher = dispatcher.Dispatcher(
             context, lambda runner: wire.forget(runner_wire.key_of(runner))
         ).start()
         context.stack.callback(self._dispatcher.close)
-        self._gateway = gateway.Gateway(context, PREFIXES, self._take_items).start()
+        self._gateway = gateway.Gateway(
+            context, PREFIXES, self._on_items_changed
+        ).start()
         context.stack.callback(self._gateway.close)
-        asked = keepers.Keepers(self._gateway, limits.http_threads)
-        self._claims = once.Once(
-            asked,
+        bounded_keepers = keepers.Keepers(self._gateway, limits.http_threads)
+        self._claims = once.KeyClaims(
+            bounded_keepers,
             context.clock,
             (process.name, context.boot_id),
             limits.kept_answer_bytes,
@@ -59,18 +61,18 @@
             lambda duration_ms: time.sleep(duration_ms / 1000),
         )
         self._in_flight = callers.InFlight(context.clock)
-        self._serve_callers(wire, asked)
+        self._serve_callers(wire, bounded_keepers)
         self._serve_operators()
 
     def deliver(self, received):
-        """Take a peer's message."""
+        """Handle a message from a peer."""
         if self._gateway.deliver(received):
             return
         if isinstance(received.message, placer.TargetsView):
-            self._dispatcher.put(received.message)
+            self._dispatcher.enqueue(received.message)
 
     def status(self):
-        """The entry's state; ready once it has a configuration and its runners."""
+        """Return the entry's state; ready once it knows configuration and runners."""
         published = self._dispatcher.published
         detail = {
             "in_flight": self._in_flight.number,
@@ -87,22 +89,22 @@
         )
 
     def drain(self):
-        """Serve what comes until the balancer has gone elsewhere, then end.
+        """Serve requests until the balancer has stopped sending them, then return.
 
-        Requests that arrive while the balancer has not yet noticed are served like any
-        other, on connections that are closed after the answer: refusing them would cut
-        requests in a planned stop. Where callers go on coming for half of the time,
-        they are refused from then on, so that the end cuts nobody off.
+        Requests that arrive before the balancer has noticed the drain are served as
+        usual, on connections that are closed after the answer: refusing them would fail
+        requests during a planned stop. If callers still send requests after half of the
+        drain time, they are refused, so that the end of the process interrupts none.
         """
         clock = self._context.clock
         drain_ms = self._context.settings.timing.drain_ms
-        give_up_ms = clock.monotonic_ms() + drain_ms
-        refuse_ms = clock.monotonic_ms() + int(drain_ms * DRAIN_SERVES_SHARE)
-        while clock.monotonic_ms() < give_up_ms:
+        end_ms = clock.monotonic_ms() + drain_ms
+        refuse_ms = clock.monotonic_ms() + int(drain_ms * DRAIN_SERVING_SHARE)
+        while clock.monotonic_ms() < end_ms:
             if self._in_flight.is_quiet(DRAIN_QUIET_MS) and not self._claims.unrecorded:
                 return
             if clock.monotonic_ms() >= refuse_ms:
-                self._in_flight.refuse_more()
+                self._in_flight.start_refusing()
             time.sleep(DRAIN_POLL_MS / 1000)
 
     def _is_ready(self, published):
@@ -110,20 +112,22 @@
         self._was_current = self._was_current or has_copy or self._gateway.is_current
         domain = self._context.settings.process.failure_domain
         waited_ms = self._context.clock.monotonic_ms() - self._started_ms
-        knows_runners = domain in published.epochs or waited_ms > READY_GRACE_MS
-        return self._was_current and knows_runners
+        has_runner_view = domain in published.epochs or waited_ms > READY_GRACE_MS
+        return self._was_current and has_runner_view
 
-    def _take_items(self, _changed, copy):
+    def _on_items_changed(self, _changed, copy):
         self._catalog = catalog.build(copy)
-        self._dispatcher.put(self._catalog)
+        self._dispatcher.enqueue(self._catalog)
 
-    def _serve_callers(self, wire, asked):
+    def _serve_callers(self, wire, bounded_keepers):
         context, limits = self._context, self._context.settings.limits
         get_catalog = lambda: self._catalog
         served = requests.Requests(
             context, get_catalog, self._dispatcher, wire, self._claims
         )
-        job_paths = jobs.Jobs(context, get_catalog, asked, self._gateway.ask_peer)
+        job_paths = jobs.Jobs(
+            context, get_catalog, bounded_keepers, self._gateway.ask_peer
+        )
         application = callers.build(context, self, served, job_paths, self._in_flight)
         listen = context.settings.listen.callers
         self._listen(listen, application, limits.http_threads)
@@ -147,5 +151,5 @@
 
 
 def build(context):
-    """Make the entry and start serving; see ``ops.daemon``."""
+    """Create the entry and start serving; see ``ops.daemon``."""
     return Entry(context)
