--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -38,7 +38,7 @@
     """A step as a caller spells it: what is empty or false is left out."""
     said = {"count": step.count, "cpu": step.cpu_millis, "mem_mb": 1}
     said |= {"estimated_ms": 200, "after": step.after, "gang": step.gang}
-    said |= {"long_running": step.lasts}
+    said |= {"long_running": step.long_running}
     return {name: value for name, value in said.items() if value}
 
 
@@ -91,7 +91,7 @@
         """What a job is shown as; None without a clear answer."""
         status, body = self._call(session, "GET", job_id)
         if status == 410:
-            self._promises.broken.append(f"{job_id} was accepted and is unknown")
+            self._promises.violations.append(f"{job_id} was accepted and is unknown")
         return json.loads(body).get("state") if status == 200 else None
 
     def session(self):
@@ -102,7 +102,7 @@
         session = self.session()
         while not self._stopping.is_set():
             job_id, steps, cancels = self._draw()
-            self._promises.submitted(job_id, steps)
+            self._promises.on_job_submitted(job_id, steps)
             if self._submit(session, job_id, steps):
                 if cancels:
                     self._cancel(session, job_id)
@@ -116,7 +116,7 @@
             job_id = f"{self._number:016x}"
             step = promises_module.Step
             if self._number in LASTING:
-                return job_id, [step(1, 500, lasts=True)], lots.random() < 0.15
+                return job_id, [step(1, 500, long_running=True)], lots.random() < 0.15
             steps = [step(lots.randrange(1, 6), lots.choice([500, 1000, 2000]))]
             kind = lots.random()
             if kind < 0.5:
@@ -141,11 +141,11 @@
                 self.accepted[job_id] = steps
                 return True
             if status == 404:
-                self._promises.broken.append("the queue is unknown")
+                self._promises.violations.append("the queue is unknown")
                 return False
             time.sleep(PAUSE_S)
         if all(status in REJECTED for status in statuses):
-            self._promises.was_refused(job_id)
+            self._promises.on_job_refused(job_id)
         return False
 
     def _cancel(self, session, job_id):
--- a/tools/soak/day.py
+++ b/tools/soak/day.py
@@ -1,7 +1,7 @@
 """One seeded day of the soak: a cell of real processes, its callers and its faults.
 
 >>> report = play(7, folder, 10)  # doctest: +SKIP
->>> report.broken  # doctest: +SKIP
+>>> report.violations  # doctest: +SKIP
 []
 """
 
@@ -54,10 +54,10 @@
 
 
 class Report(typing.NamedTuple):
-    """What a day showed; ``broken`` is a line for each promise that did not hold."""
+    """The outcome of a day; ``violations`` has a line for each broken guarantee."""
 
     seed: int
-    broken: list
+    violations: list
     accepted: int
     cancelled: int
     refused: int
@@ -96,7 +96,7 @@
     def restart(self):
         """Begin a new life under the same id."""
         with self._lock:
-            self._permission.life_over(self.name)
+            self._permission.revoke_tickets(self.name)
             self.worker.restart()
 
     def started(self, order):
@@ -147,10 +147,10 @@
         troubles = faults_module.Faults(running, links, workers, hire, seed)
         troubles.play(duration_s)
         calling.stop()
-        _check_calm(calling, promises)
+        _check_recovery(calling, promises)
         return Report(
             seed,
-            list(promises.broken),
+            list(promises.violations),
             len(calling.accepted),
             len(calling.cancelled),
             len(promises.refused),
@@ -235,7 +235,7 @@
         cell.wait_until(lambda plan=plan: is_ready(plan), f"{plan.name} is ready")
 
 
-def _check_calm(calling, promises):
+def _check_recovery(calling, promises):
     """All accepted jobs end as they should; nothing is left of cancelled ones."""
     session = calling.session()
     starts, started_s = promises.starts, time.monotonic()
@@ -243,7 +243,7 @@
     given_up = set()
     give_up_s = time.monotonic() + CALM_S
     while left and time.monotonic() < min(give_up_s, started_s + STILL_S):
-        left = [j for j in left if not _is_well(calling, promises, session, j)]
+        left = [j for j in left if not _is_as_expected(calling, promises, session, j)]
         given_up |= {j for j in left if _is_given_up(calling, promises, session, j)}
         left = [job_id for job_id in left if job_id not in given_up]
         if promises.starts != starts:
@@ -251,19 +251,19 @@
         time.sleep(0.2)
     for job_id in left:
         first = next(iter(promises.unfinished(job_id)), "nothing")
-        wanted = "running" if promises.lasts(job_id) else "completed"
+        wanted = "running" if promises.is_long_running(job_id) else "completed"
         if promises.is_hopeless(job_id):
             wanted = "failed"
-        promises.broken.append(f"{job_id} is not {wanted}: {first} is left")
+        promises.violations.append(f"{job_id} is not {wanted}: {first} is left")
     for job_id in calling.accepted:
         if job_id in calling.cancelled:
             if promises.running(job_id):
-                promises.broken.append(f"{job_id} was cancelled and runs on")
+                promises.violations.append(f"{job_id} was cancelled and runs on")
         elif promises.is_hopeless(job_id) or job_id in {*given_up, *left}:
             continue
         elif promises.unfinished(job_id):
             if not _is_given_up(calling, promises, session, job_id):
-                promises.broken.append(f"{job_id} is shown as completed and is not")
+                promises.violations.append(f"{job_id} is shown as completed and is not")
 
 
 def _is_given_up(calling, promises, session, job_id):
@@ -272,7 +272,7 @@
     return is_allowed and calling.state(session, job_id) == "failed"
 
 
-def _is_well(calling, promises, session, job_id):
+def _is_as_expected(calling, promises, session, job_id):
     """Whether a job is completed; one that lasts runs, with all its tasks.
 
     A cancellation that never got a clear answer may be in force or not; if it is, the
@@ -284,6 +284,6 @@
         return True
     if promises.is_hopeless(job_id):
         return state == "failed"
-    if not promises.lasts(job_id):
+    if not promises.is_long_running(job_id):
         return state == "completed"
     return state == "running" and not promises.unfinished(job_id)
--- a/tools/soak/main.py
+++ b/tools/soak/main.py
@@ -26,7 +26,7 @@
         folder = pathlib.Path(tempfile.mkdtemp(prefix=f"alderreach-soak-{seed}-"))
         played = day.play(seed, folder, seconds, callers.CRASHING)
         print("\n".join(report.lines(played)), flush=True)
-        if played.broken:
+        if played.violations:
             failed.append(seed)
             print(f"  logs in {folder}", flush=True)
         else:
--- a/tools/soak/promises.py
+++ b/tools/soak/promises.py
@@ -25,7 +25,7 @@
     cpu_millis: int
     after: list[int] = []
     gang: bool = False
-    lasts: bool = False
+    long_running: bool = False
     crashes: bool = False
     """Each of its tasks crashes all workers that start it."""
 
@@ -38,9 +38,9 @@
         self.workers = []
         self.steps = {}
         self.done = set()
-        self.noted = set()
+        self.acknowledged = set()
         self.refused = set()
-        self.broken = []
+        self.violations = []
         self.starts = 0
         self.crashes = collections.Counter()
         self.crashed_under = collections.Counter()
@@ -50,17 +50,17 @@
         """The clock of the stand-in workers."""
         return types.SimpleNamespace(now_ms=clocks.SYSTEM.monotonic_ms())
 
-    def submitted(self, job_id, steps):
+    def on_job_submitted(self, job_id, steps):
         """A caller is about to hand a job in; ``steps`` as ``Step``."""
         with self.lock:
             self.steps[job_id] = steps
 
-    def was_refused(self, job_id):
+    def on_job_refused(self, job_id):
         """All attempts to hand a job in were rejected, so it must never run."""
         with self.lock:
             self.refused.add(job_id)
             if any(task.startswith(f"{job_id}.") for task in self._started()):
-                self.broken.append(f"{job_id} was refused and has run")
+                self.violations.append(f"{job_id} was refused and has run")
 
     def check_start(self, worker, order):
         """What must hold whenever a worker starts something."""
@@ -68,28 +68,28 @@
         task = order.task
         job_id, _occurrence, number, _index = task.split(".")
         if job_id in self.refused:
-            self.broken.append(f"{task} starts, though its job was refused")
+            self.violations.append(f"{task} starts, though its job was refused")
         if job_id not in self.steps:
-            self.broken.append(f"{task} starts, and nobody submitted its job")
+            self.violations.append(f"{task} starts, and nobody submitted its job")
             return
-        if task in self.noted:
-            self.broken.append(f"{task} starts after its end was acknowledged")
+        if task in self.acknowledged:
+            self.violations.append(f"{task} starts after its end was acknowledged")
         for other in self.workers:
             # A lease may have lapsed a moment ago, unnoticed as yet.
             other.step()
             if task in other.running and not other.is_down:
-                self.broken.append(
+                self.violations.append(
                     f"{task} starts on {worker.name}, runs on {other.name}"
                 )
         self._check_order(task, job_id, int(number))
         self._check_room(worker, order)
 
-    def note_end(self, end):
+    def on_end_acknowledged(self, end):
         """An end was acknowledged."""
         if end.how == DONE:
-            self.noted.update(self._over_with(end.task))
+            self.acknowledged.update(self._over_with(end.task))
 
-    def saw_end(self, task, how):
+    def on_run_ended(self, task, how):
         """A run has ended on a worker."""
         if how != DONE:
             return
@@ -105,7 +105,7 @@
 
         A task that lasts ends once by itself, and has to be started again.
         """
-        if self._step_of(task).lasts:
+        if self._step_of(task).long_running:
             return task not in self.done
         present = {t for w in self.workers if not w.is_down for t in w.running}
         return present.issuperset(self._over_with(task))
@@ -117,7 +117,7 @@
         """
         with self.lock:
             over = self.done
-            if self.lasts(job_id):
+            if self.is_long_running(job_id):
                 over = self.done.intersection(self.running(job_id))
             return [task for task in self._tasks(job_id) if task not in over]
 
@@ -128,7 +128,9 @@
         with self.lock:
             self.crashes[task] += 1
             if self.crashes[task] > CRASHES_MOST:
-                self.broken.append(f"{task} has crashed {self.crashes[task]} workers")
+                self.violations.append(
+                    f"{task} has crashed {self.crashes[task]} workers"
+                )
         return True
 
     def note_crash(self, worker):
@@ -146,9 +148,9 @@
         """Whether a job can't be done, since its tasks crash their workers."""
         return any(step.crashes for step in self.steps[job_id])
 
-    def lasts(self, job_id):
+    def is_long_running(self, job_id):
         """Whether a job's tasks are to run until it is cancelled."""
-        return any(step.lasts for step in self.steps[job_id])
+        return any(step.long_running for step in self.steps[job_id])
 
     def running(self, job_id):
         """Tasks of a job that some worker works on."""
@@ -177,7 +179,7 @@
         """The tasks that are over for good with a task: itself, or its gang."""
         job_id, occurrence, number, _index = task.split(".")
         step = self._step_of(task)
-        if step.lasts:
+        if step.long_running:
             return []
         if not step.gang:
             return [task]
@@ -188,13 +190,17 @@
         for earlier in steps[number].after:
             for index in range(steps[earlier].count):
                 if f"{job_id}.0.{earlier}.{index}" not in self.done:
-                    self.broken.append(f"{task} starts before step {earlier} is done")
+                    self.violations.append(
+                        f"{task} starts before step {earlier} is done"
+                    )
                     return
 
     def _check_room(self, worker, order):
         used = sum(self._need(task) for task in [*worker.running, order.task])
         if used > worker.capacity.cpu_millis:
-            self.broken.append(f"{worker.name} is over its capacity by {order.task}")
+            self.violations.append(
+                f"{worker.name} is over its capacity by {order.task}"
+            )
 
     def _need(self, task):
         return self._step_of(task).cpu_millis
--- a/tools/soak/report.py
+++ b/tools/soak/report.py
@@ -25,7 +25,7 @@
     kinds = collections.Counter(fault.kind for fault in report.faults)
     latency = report.latency
     yield (
-        f"seed {report.seed}: {len(report.broken)} broken; {report.accepted} jobs "
+        f"seed {report.seed}: {len(report.violations)} broken; {report.accepted} jobs "
         f"accepted, {report.cancelled} cancelled, {report.refused} refused, "
         f"{report.starts} starts"
     )
@@ -35,7 +35,7 @@
         for percent in (50, 90, 99, 100)
     )
     yield from (f"  {line}" for line in plot(report))
-    yield from (f"  BROKEN {text}" for text in report.broken)
+    yield from (f"  BROKEN {text}" for text in report.violations)
 
 
 def plot(report):
--- a/tools/standins/cell_worker.py
+++ b/tools/standins/cell_worker.py
@@ -24,12 +24,12 @@
     def percent(self, now_ms):
         """How far it has come."""
         done_ms = now_ms - self.started_ms
-        if self.script.stands_still:
+        if self.script.is_stalled:
             return 0
         return min(100, 100 * done_ms // self.script.work_ms)
 
 
-class Broken(AssertionError):
+class PromiseViolation(AssertionError):
     """A promise was broken, as a worker sees it."""
 
 
@@ -38,7 +38,7 @@
 
     work_ms: int = 500
     how: str = "done"
-    stands_still: bool = False
+    is_stalled: bool = False
     load: float = 0.0
 
 
@@ -52,7 +52,7 @@
         self.rate = clock_rate
         self.permits = lambda order: True
         self.script = Script()
-        self.lives = 0
+        self.incarnation = 0
         self.state = "ready"
         self.address = f"{name}:1"
         self.is_down = False
@@ -61,7 +61,7 @@
 
     def restart(self):
         """Come up with nothing: no run, no epoch, a clock that starts anew."""
-        self.lives += 1
+        self.incarnation += 1
         self.is_down = False
         self.born_ms = 1_700_000_000_000 + self.world.time.now_ms
         self._started_ms = self.world.time.now_ms
@@ -148,7 +148,7 @@
             self._extend(poll.lease_until_ms)
         for end in self.ends:
             if end.number <= poll.cursor and end.number not in self.void:
-                self.world.note_end(end)
+                self.world.on_end_acknowledged(end)
         self.ends = [end for end in self.ends if end.number > poll.cursor]
         running = [
             orders.ListedRun(
@@ -174,7 +174,7 @@
         self.closed[task] = max(self.closed.get(task, 0), run)
         self.ends.append(orders.ListedEnd(self.next_end, task, run, how, ""))
         self.next_end += 1
-        self.world.saw_end(task, how)
+        self.world.on_run_ended(task, how)
 
     def _result(self, outcome):
         return orders.OrderResult(outcome, self.clock_ms())
--- a/tools/standins/permissions.py
+++ b/tools/standins/permissions.py
@@ -43,7 +43,7 @@
         with self._lock:
             return time.monotonic() < self._until_s.get(key, 0)
 
-    def life_over(self, worker):
+    def revoke_tickets(self, worker):
         """Tickets for a worker end with its life."""
         with self._lock:
             for key in [key for key in self._until_s if key[1] == worker]:
--- a/tools/standins/platform_worker.py
+++ b/tools/standins/platform_worker.py
@@ -39,10 +39,10 @@
     def check_start(self, worker, order):
         """Nothing is known here of other workers."""
 
-    def note_end(self, end):
+    def on_end_acknowledged(self, end):
         """Nothing is kept of acknowledged ends."""
 
-    def saw_end(self, task, how):
+    def on_run_ended(self, task, how):
         """Nothing is kept of ends."""
 
     def may_end(self, task):
@@ -111,7 +111,7 @@
     def started(self, order):
         """A start was carried out, and is answered next."""
 
-    def ran(self):
+    def completed_runs(self):
         """How many runs have ended as done."""
         with self._lock:
             return self.worker.next_end - 1
--- a/tools/virtual_cell.py
+++ b/tools/virtual_cell.py
@@ -78,7 +78,7 @@
         self.stops = 0
         self.moves = 0
         self.polls = 0
-        self.questions = 0
+        self.queries = 0
         self.waits = []
         self.silent_helpers = set()
         self.cut_helpers = set()
@@ -97,7 +97,7 @@
         self._log.config = cell.CellConfig(1, list(queues), pools, b"{}")
         self._log.targets = {record.target_id: record for record in records}
         self._epoch = 0
-        self.leading = None
+        self.term = None
         self._lead_anew()
         self.loop.after(0, self._tick)
         self._heartbeats()
@@ -225,7 +225,7 @@
         self._epoch += 1
         now_ms = lambda: int(self.loop.now_ms)
         settings = virtual_settings.parsed()
-        self.leading = director.LeadershipTerm(
+        self.term = director.LeadershipTerm(
             self._epoch,
             leader_state.Environment(
                 settings=settings,
@@ -244,14 +244,14 @@
         )
 
     def _lose_leader(self):
-        self.leading = None
+        self.term = None
 
     def _after_commit(self, act):
         """Have something happen after a commit, if that leader still leads."""
-        leading = self.leading
+        term = self.term
 
         def if_leading():
-            if self.leading is leading:
+            if self.term is term:
                 act()
 
         self.loop.after(COMMIT_MS, if_leading)
@@ -263,7 +263,7 @@
         self.starts += kind == "run_placed"
         self.stops += kind == "run_preempted"
         self.moves += kind == "run_moved"
-        self.questions += kind == "permission_asked"
+        self.queries += kind == "permission_asked"
         if kind == "step_waits":
             self.waits.append(fields)
 
@@ -271,19 +271,19 @@
         if mail.epoch != self._epoch:
             return
         if isinstance(mail, target_link.OrderAnswered):
-            order_answers.handle_order_answer(self.leading.leader, mail)
+            order_answers.handle_order_answer(self.term.leader, mail)
         else:
             self.polls += 1
-            worker_polls.handle_poll_answer(self.leading.leader, mail)
+            worker_polls.handle_poll_answer(self.term.leader, mail)
 
     def _lead(self, act):
         """Run some of the leader's code, plan, and have the decisions committed."""
-        if self.leading is None:
+        if self.term is None:
             return
         began_s = time.process_time()
         act()
-        self.leading.planner.plan(int(self.loop.now_ms))
-        batch, effects = self.leading.leader.pop_batch()
+        self.term.planner.plan(int(self.loop.now_ms))
+        batch, effects = self.term.leader.pop_batch()
         took_s = time.process_time() - began_s
         self.cpu_s += took_s
         self.cpu_by_second[int(self.loop.now_ms // 1000)] += took_s
@@ -299,22 +299,22 @@
     def _tick(self):
         def tick():
             now_ms = int(self.loop.now_ms)
-            self.leading.leader.permissions.give_up_overdue(now_ms)
-            running.tick(self.leading.leader, now_ms)
+            self.term.leader.permissions.give_up_overdue(now_ms)
+            running.tick(self.term.leader, now_ms)
 
         self._lead(tick)
         self.loop.after(TICK_MS, self._tick)
 
     def _heartbeats(self):
         self.loop.after(1000, self._heartbeats)
-        if self.leading is None:
+        if self.term is None:
             return
-        self.leading.leader.tidy()
-        self.leading.planner.tidy()
+        self.term.leader.tidy()
+        self.term.planner.tidy()
         for target_id, machine in self._machines.items():
             if machine.is_gone or machine.is_cut_off:
                 continue
-            worker = self.leading.leader.workers.get(target_id)
+            worker = self.term.leader.workers.get(target_id)
             if worker is None or worker.record != machine.record:
                 self._announce(machine.record)
             else:
@@ -342,7 +342,7 @@
         machine.leave()
 
     def _request(self, request, reply=lambda answer: None):
-        self._lead(lambda: requests.handle(self.leading, request, reply))
+        self._lead(lambda: requests.handle(self.term, request, reply))
 
     def answers(self, question):
         """How the permission service answers: DECIDED, UNDECIDED or SILENT."""
@@ -352,8 +352,8 @@
         how = self.answers(question)
         if question.helper in self.silent_helpers or how == SILENT:
             return
-        job = self.leading.leader.state.jobs[question.group[0]]
-        rule = self.leading.leader.queue_of(job).permission
+        job = self.term.leader.state.jobs[question.group[0]]
+        rule = self.term.leader.queue_of(job).permission
         took_ms = rule.decision_ms + rule.per_target_ms * len(question.target_ids)
         granted = [
             cell.Ticket(target_id, "t")
@@ -365,12 +365,12 @@
         answer = cell.PermissionAnswer(
             question.query_id, is_decided, granted if is_decided else []
         )
-        leading = self.leading
+        term = self.term
 
         def tell():
-            if self.leading is leading:
+            if self.term is term:
                 self._lead(
-                    lambda: permission_answers.handle_answer(leading.leader, answer)
+                    lambda: permission_answers.handle_answer(term.leader, answer)
                 )
 
         self.loop.after(2 * HOP_MS + (0 if is_cut else took_ms), tell)
@@ -380,7 +380,7 @@
         return random.Random(f"{group}{target_id}").random() < share
 
     def _note_done(self):
-        jobs = self.leading.leader.state.jobs if self.leading else self._log.jobs
+        jobs = self.term.leader.state.jobs if self.term else self._log.jobs
         for job_id in self._due:
             is_done = job_id in jobs and jobs[job_id].state == cell_state.COMPLETED
             if is_done and job_id not in self._done_ms:
--- a/tools/virtual_days.py
+++ b/tools/virtual_days.py
@@ -9,7 +9,7 @@
 
 >>> day = Day(seed=3)
 >>> day.play()
->>> day.watch.standing, day.false_states()
+>>> day.watch.stalls, day.false_states()
 ([], [])
 """
 
@@ -73,15 +73,15 @@
 
     def permits(self, group, target_id):
         """Whether the permission service would let a step run on a worker."""
-        job = self.leading.leader.state.jobs[group.job_id]
-        if self.leading.leader.queue_of(job).permission is None:
+        job = self.term.leader.state.jobs[group.job_id]
+        if self.term.leader.queue_of(job).permission is None:
             return True
         return self._may_run(job, group, target_id)
 
     def false_states(self):
         """Jobs or tasks that ended otherwise, by the leader, than the machines saw."""
         false = []
-        for job in self.leading.leader.state.jobs.values():
+        for job in self.term.leader.state.jobs.values():
             job_id = job.record.job_id
             if job.state == cell_state.FAILED and not self._may_have_failed(job):
                 false.append(f"{job_id} has not failed so often")
@@ -109,7 +109,7 @@
 
     def open_steps(self):
         """(group, step) of all whose turn has come, of jobs that go on."""
-        for job in self.leading.leader.state.jobs.values():
+        for job in self.term.leader.state.jobs.values():
             if job.state != cell_state.ACTIVE:
                 continue
             for occurrence, number in job.groups:
@@ -120,7 +120,7 @@
 
     def undone(self, group):
         """Numbers of the tasks of a step that are not done."""
-        tasks = self.leading.leader.state.jobs[group.job_id].groups[group[1:]]
+        tasks = self.term.leader.state.jobs[group.job_id].groups[group[1:]]
         return {n for n, task in enumerate(tasks) if task.state != cell_state.DONE}
 
     def answers(self, question):
--- a/tools/virtual_load.py
+++ b/tools/virtual_load.py
@@ -110,9 +110,9 @@
 class Entry:
     """Carries out the decisions of one service as the entry's threads do."""
 
-    def __init__(self, loop, decide, domain, runners, got):
+    def __init__(self, loop, policy, domain, runners, got):
         self.loop = loop
-        self.decide = decide
+        self.policy = policy
         self.domain = domain
         self._runners = {runner.view.runner_id: runner for runner in runners}
         self._got = got
@@ -128,11 +128,11 @@
         ask = serving.Ask(
             request_id, call.team, call.priority, now_ms, now_ms + call.deadline_ms
         )
-        self._carry_out(self.decide.submit(ask, now_ms))
+        self._carry_out(self.policy.submit(ask, now_ms))
 
     def _tick(self):
         self.loop.after(TICK_MS, self._tick)
-        self._carry_out(self.decide.tick(self.loop.now_ms)[0])
+        self._carry_out(self.policy.tick(self.loop.now_ms)[0])
 
     def _carry_out(self, decisions):
         for decision in decisions:
@@ -163,7 +163,7 @@
         call, arrived_ms, attempts, avoided, _ = state = self._open[request_id]
         if result == serving.ANSWERED:
             self._end(request_id, "ran", status, 0)
-        self._carry_out(self.decide.on_attempt_ended(ended, now_ms))
+        self._carry_out(self.policy.on_attempt_ended(ended, now_ms))
         if result == serving.ANSWERED:
             return
         state[3] = avoided = (*avoided, runner_id)
@@ -176,7 +176,7 @@
             attempts + 1,
             result,
         )
-        self._carry_out(self.decide.submit(ask, now_ms, avoided))
+        self._carry_out(self.policy.submit(ask, now_ms, avoided))
 
     def _end(self, request_id, outcome, status, retry_after_ms):
         call, arrived_ms, attempts, _, _ = self._open.pop(request_id)
@@ -188,15 +188,15 @@
 class Cell:
     """Entries and runners of one service over domains, and what callers got.
 
-    ``make_decide(place, random)`` makes the decision object of one entry.
+    ``make_policy(place, random)`` makes the decision object of one entry.
     """
 
     def __init__(
-        self, make_decide, domains=1, entries=2, runners=6, slots=8, connections=64
+        self, make_policy, domains=1, entries=2, runners=6, slots=8, connections=64
     ):
         self.loop = Loop()
         self.random = random.Random(7)
-        self.got = []
+        self.results = []
         self.runners = [
             Runner(self.loop, _view(domain, number, slots, connections))
             for domain in range(domains)
@@ -208,10 +208,10 @@
                 f"domain-{domain}", entries, domains * entries
             )
             for _ in range(entries):
-                decide = make_decide(place, random.Random(len(self.entries)))
-                decide.set_runners([runner.view for runner in self.runners])
+                policy = make_policy(place, random.Random(len(self.entries)))
+                policy.set_runners([runner.view for runner in self.runners])
                 name = place.failure_domain
-                made = Entry(self.loop, decide, name, self.runners, self.got)
+                made = Entry(self.loop, policy, name, self.runners, self.results)
                 self.entries.append(made)
 
     @property
@@ -249,7 +249,7 @@
         """Tell the entries of runners that left for good."""
         views = [r.view for r in self.runners if r.mode != "gone"]
         for entry in self.entries:
-            entry.decide.set_runners(views)
+            entry.policy.set_runners(views)
 
 
 def _view(domain, number, slots, connections):
@@ -268,7 +268,7 @@
 
 
 def make_service(queue_length=64, weights=None, declared_run_ms=0):
-    """A ``make_decide`` for ``Cell`` with the project's own decisions."""
+    """A ``make_policy`` for ``Cell`` with the project's own decisions."""
 
     def make(place, chance):
         service = serving.Service(place, queue_length, chance)
--- a/tools/virtual_watch.py
+++ b/tools/virtual_watch.py
@@ -43,7 +43,7 @@
 
     def __init__(self, day):
         self.day = day
-        self.standing = []
+        self.stalls = []
         self.calm_from_ms = CALM_MS
         self.started_ms = {}
         self.excused_ms = {}
@@ -56,7 +56,7 @@
 
     def poll(self):
         """Poll everything once, unless nobody leads."""
-        if self.day.leading is None:
+        if self.day.term is None:
             return
         now_ms = self.day.loop.now_ms
         up = [machine for machine in self.day.machines() if machine.is_up()]
@@ -113,7 +113,7 @@
         now_ms = int(self.day.loop.now_ms)
         task = ".".join(str(part) for part in key)
         workers = sum(fit > 0 for fit in fits.values())
-        self.standing.append(
+        self.stalls.append(
             Standing(
                 task, now_ms, waiting, sum(fits.values()), workers, round(full_share, 2)
             )
