--- a/tools/cell.py
+++ b/tools/cell.py
@@ -233,10 +233,10 @@
         for process in running:
             process.send_signal(signal.SIGCONT)
             process.terminate()
-        give_up = time.monotonic() + STOP_WAIT_S
+        deadline = time.monotonic() + STOP_WAIT_S
         for process in running:
             try:
-                process.wait(max(0.1, give_up - time.monotonic()))
+                process.wait(max(0.1, deadline - time.monotonic()))
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
@@ -244,8 +244,8 @@
 
 def wait_until(condition, what, timeout_s=READY_WAIT_S, interval_s=0.02):
     """Wait on a condition; returns its true value or fails naming ``what``."""
-    give_up = time.monotonic() + timeout_s
-    while time.monotonic() < give_up:
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
         value = condition()
         if value:
             return value
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -160,8 +160,8 @@
     for thread in threads:
         thread.start()
     try:
-        start = moment(time.time() + WINDOW_LEAD_S)
-        end = moment(time.time() + WINDOW_LEAD_S + WINDOW_LENGTH_S)
+        start = iso_time(time.time() + WINDOW_LEAD_S)
+        end = iso_time(time.time() + WINDOW_LEAD_S + WINDOW_LENGTH_S)
         add = ["maintenance", "add", "--id", "demo-window"]
         add += ["--failure-domain", RACK_DOMAIN]
         add += ["--rack", rack, "--start", start, "--end", end]
@@ -169,9 +169,9 @@
         cells.wait_until(
             lambda: rack_is_ready(cell, rack), f"{rack} ready to be stopped"
         )
-        landlord = cell.processes[f"targets-{RACK_DOMAIN}"]
-        landlord.terminate()
-        landlord.wait(20)
+        targets_process = cell.processes[f"targets-{RACK_DOMAIN}"]
+        targets_process.terminate()
+        targets_process.wait(20)
         time.sleep(1)
     finally:
         stop.set()
@@ -181,7 +181,7 @@
     print(f"{rack} stopped; {served[0]} requests meanwhile, none cut")
 
 
-def moment(unix_s):
+def iso_time(unix_s):
     """A wall time as the command line takes it."""
     return datetime.datetime.fromtimestamp(unix_s, datetime.UTC).isoformat()
 
--- a/tools/paired.py
+++ b/tools/paired.py
@@ -21,7 +21,7 @@
 
 RESAMPLES = 4000
 # The share of resampled means that lies outside of the interval, on either side.
-OUTSIDE = 0.025
+TAIL_SHARE = 0.025
 
 
 class Difference(typing.NamedTuple):
@@ -42,14 +42,18 @@
     >>> print(difference([1.0, 2.0, 3.0], [1.5, 2.5, 3.5]))
     +0.5000 [+0.5000, +0.5000] n=3
     """
-    gains = [b - a for a, b in zip(before, after, strict=True)]
-    lots = random.Random(len(gains))
+    differences = [b - a for a, b in zip(before, after, strict=True)]
+    rng = random.Random(len(differences))
     means = sorted(
-        statistics.fmean(lots.choices(gains, k=len(gains))) for _ in range(RESAMPLES)
+        statistics.fmean(rng.choices(differences, k=len(differences)))
+        for _ in range(RESAMPLES)
     )
-    outside = int(OUTSIDE * RESAMPLES)
+    outside = int(TAIL_SHARE * RESAMPLES)
     return Difference(
-        len(gains), statistics.fmean(gains), means[outside], means[-1 - outside]
+        len(differences),
+        statistics.fmean(differences),
+        means[outside],
+        means[-1 - outside],
     )
 
 
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -21,12 +21,12 @@
 PAUSE_S = 0.15
 ATTEMPTS = 12
 REJECTED = (429, 503)
-HIGHEST_MS = 600_000
+MAX_LATENCY_MS = 600_000
 WIDE_CPU_MILLIS = 5000
 # Jobs that last: all six together leave any worker room for a task that is wide.
-LASTING = range(5, 95, 15)
+LONG_RUNNING_JOBS = range(5, 95, 15)
 # Jobs whose task crashes each worker that starts it.
-CRASHING = range(8, 95, 40)
+CRASHING_JOBS = range(8, 95, 40)
 
 
 def prefix_of(job_id):
@@ -34,12 +34,12 @@
     return PERMITTED if int(job_id, 16) % 2 else FREE
 
 
-def _spelled(step):
+def _step_json(step):
     """A step as a caller spells it: what is empty or false is left out."""
-    said = {"count": step.count, "cpu": step.cpu_millis, "mem_mb": 1}
-    said |= {"estimated_ms": 200, "after": step.after, "gang": step.gang}
-    said |= {"long_running": step.long_running}
-    return {name: value for name, value in said.items() if value}
+    fields = {"count": step.count, "cpu": step.cpu_millis, "mem_mb": 1}
+    fields |= {"estimated_ms": 200, "after": step.after, "gang": step.gang}
+    fields |= {"long_running": step.long_running}
+    return {name: value for name, value in fields.items() if value}
 
 
 class Answer(typing.NamedTuple):
@@ -57,10 +57,10 @@
     ``crashing`` are the numbers of jobs whose task crashes its workers.
     """
 
-    def __init__(self, addresses, promises, lots, crashing=(), threads=3):
+    def __init__(self, addresses, promises, rng, crashing=(), threads=3):
         self._addresses = addresses
         self._promises = promises
-        self._lots = lots
+        self._rng = rng
         self._crashing = crashing
         self._lock = threading.Lock()
         self._stopping = threading.Event()
@@ -70,7 +70,7 @@
         self.cancelled = set()
         self.unclear = set()
         self.answers = []
-        self.latency = HdrHistogram(1, HIGHEST_MS, 3)
+        self.latency = HdrHistogram(1, MAX_LATENCY_MS, 3)
         self._threads = [
             threading.Thread(target=self._run, daemon=True) for _ in range(threads)
         ]
@@ -111,27 +111,27 @@
 
     def _draw(self):
         with self._lock:
-            lots = self._lots
+            rng = self._rng
             self._number += 1
             job_id = f"{self._number:016x}"
             step = promises_module.Step
-            if self._number in LASTING:
-                return job_id, [step(1, 500, long_running=True)], lots.random() < 0.15
-            steps = [step(lots.randrange(1, 6), lots.choice([500, 1000, 2000]))]
-            kind = lots.random()
+            if self._number in LONG_RUNNING_JOBS:
+                return job_id, [step(1, 500, long_running=True)], rng.random() < 0.15
+            steps = [step(rng.randrange(1, 6), rng.choice([500, 1000, 2000]))]
+            kind = rng.random()
             if kind < 0.5:
-                steps.append(step(lots.randrange(1, 4), 500, [0]))
+                steps.append(step(rng.randrange(1, 4), 500, [0]))
             elif kind < 0.7:
                 # Each task takes more than half of a worker.
                 steps.append(step(2, WIDE_CPU_MILLIS, [0], gang=kind < 0.6))
-            cancels = lots.random() < 0.15
+            cancels = rng.random() < 0.15
             if self._number in self._crashing:
                 return job_id, [step(1, 500, crashes=True)], False
             return job_id, steps, cancels
 
     def _submit(self, session, job_id, steps):
         body = json.dumps(
-            {"spec": "run", "steps": [_spelled(s) for s in steps]}
+            {"spec": "run", "steps": [_step_json(s) for s in steps]}
         ).encode()
         statuses = []
         for _attempt in range(ATTEMPTS):
@@ -159,7 +159,7 @@
 
     def _call(self, session, method, job_id, body=None):
         with self._lock:
-            address = self._lots.choice(self._addresses)
+            address = self._rng.choice(self._addresses)
         began_s = time.monotonic()
         try:
             answer = session.request(
--- a/tools/soak/faults.py
+++ b/tools/soak/faults.py
@@ -35,13 +35,13 @@
 class Faults:
     """Draws faults until its time is over, then mends all."""
 
-    def __init__(self, running, relay, workers, hire, seed):
+    def __init__(self, running, relay, workers, start_worker, seed):
         self._running = running
         self._relay = relay
         self._workers = workers
-        self._hire = hire
-        self._lots = random.Random(f"faults {seed}")
-        self._turnover_lots = random.Random(f"turnover {seed}")
+        self._start_worker = start_worker
+        self._rng = random.Random(f"faults {seed}")
+        self._turnover_rng = random.Random(f"turnover {seed}")
         self._lock = threading.Lock()
         self._busy = set()
         self._began_s = time.monotonic()
@@ -61,22 +61,22 @@
 
     def play(self, duration_s):
         """Faults for so long; returns once the last one is mended."""
-        give_up_s = time.monotonic() + duration_s
-        threads = [threading.Thread(target=self._turn_over, args=[give_up_s])]
+        deadline_s = time.monotonic() + duration_s
+        threads = [threading.Thread(target=self._replace_workers, args=[deadline_s])]
         threads[0].start()
-        while time.monotonic() < give_up_s:
-            kind = self._lots.choice(list(self._kinds))
-            hold_s = self._lots.choice([0.05, 0.4, 1.5, 4.0])
-            place_lot = self._lots.random()
+        while time.monotonic() < deadline_s:
+            kind = self._rng.choice(list(self._kinds))
+            hold_s = self._rng.choice([0.05, 0.4, 1.5, 4.0])
+            place_lot = self._rng.random()
             work = lambda k=kind, h=hold_s, p=place_lot: self._kinds[k](k, h, p)
             threads.append(threading.Thread(target=work, daemon=True))
             threads[-1].start()
-            time.sleep(self._lots.choice([0.1, 0.5, 1.2]))
+            time.sleep(self._rng.choice([0.1, 0.5, 1.2]))
         for thread in threads:
             thread.join()
 
     def _kill(self, kind, hold_s, lot):
-        self._one(kind, hold_s, lot, ROLES, self._down)
+        self._process_fault(kind, hold_s, lot, ROLES, self._kill_process)
 
     def _stop(self, kind, hold_s, lot):
         def stop(plan, hold_s):
@@ -86,7 +86,7 @@
             time.sleep(hold_s)
             self._running.start([plan.name])
 
-        self._one(kind, hold_s, lot, ROLES, stop)
+        self._process_fault(kind, hold_s, lot, ROLES, stop)
 
     def _pause(self, kind, hold_s, lot):
         def pause(plan, hold_s):
@@ -94,7 +94,7 @@
             time.sleep(hold_s)
             self._running.resume(plan.name)
 
-        self._one(kind, hold_s, lot, ROLES, pause)
+        self._process_fault(kind, hold_s, lot, ROLES, pause)
 
     def _wipe(self, kind, hold_s, lot):
         def wipe(plan, hold_s):
@@ -104,9 +104,9 @@
             self._running.start([plan.name])
             self._await_member(plan)
 
-        self._one(kind, hold_s, lot, ("controller",), wipe)
+        self._process_fault(kind, hold_s, lot, ("controller",), wipe)
 
-    def _down(self, plan, hold_s):
+    def _kill_process(self, plan, hold_s):
         self._running.kill(plan.name)
         time.sleep(hold_s)
         self._running.start([plan.name])
@@ -118,27 +118,29 @@
             if any(plan.name in self._busy for plan in plans):
                 return
             self._busy |= {plan.name for plan in plans}
-        self._note(kind, hold_s, "controllers")
+        self._record(kind, hold_s, "controllers")
         for plan in plans:
             self._running.processes[plan.name].send_signal(signal.SIGKILL)
         for plan in plans:
             self._running.processes[plan.name].wait()
         time.sleep(hold_s)
         self._running.start([plan.name for plan in plans])
-        self._free(plan.name for plan in plans)
+        self._release(plan.name for plan in plans)
 
     def _cut(self, kind, hold_s, lot):
-        self._link(kind, hold_s, lot, lambda name: self._relay.cut([name]))
+        self._link_fault(kind, hold_s, lot, lambda name: self._relay.cut([name]))
 
     def _cut_one_way(self, kind, hold_s, lot):
         directions = (relay_module.IN,) if lot < 0.5 else (relay_module.OUT,)
-        self._link(kind, hold_s, lot, lambda name: self._relay.cut([name], directions))
+        self._link_fault(
+            kind, hold_s, lot, lambda name: self._relay.cut([name], directions)
+        )
 
     def _slow(self, kind, hold_s, lot):
-        self._link(kind, hold_s, lot, lambda name: self._relay.slow([name], 150))
+        self._link_fault(kind, hold_s, lot, lambda name: self._relay.slow([name], 150))
 
     def _reset(self, kind, hold_s, lot):
-        self._link(kind, hold_s, lot, lambda name: self._relay.reset([name]))
+        self._link_fault(kind, hold_s, lot, lambda name: self._relay.reset([name]))
 
     def _worker_crash(self, kind, hold_s, lot):
         with self._lock:
@@ -146,7 +148,7 @@
             if worker.name in self._busy:
                 return
             self._busy.add(worker.name)
-        self._note(kind, hold_s, worker.name)
+        self._record(kind, hold_s, worker.name)
         # Silent while it is down; connections to the old life end with it.
         self._relay.cut([worker.link])
         worker.crash()
@@ -154,24 +156,24 @@
         self._relay.reset([worker.link])
         worker.restart()
         self._relay.heal([worker.link])
-        self._free([worker.name])
+        self._release([worker.name])
 
-    def _turn_over(self, give_up_s):
-        lots = self._turnover_lots
-        while time.monotonic() < give_up_s:
-            kind = lots.choice(["drain", "vanish"])
-            place = lots.randrange(len(self._workers))
-            self._replace(kind, lots.choice([0.05, 0.4, 1.5, 3.0]), place)
-            time.sleep(lots.choice([0.1, 0.5, 1.2]))
+    def _replace_workers(self, deadline_s):
+        rng = self._turnover_rng
+        while time.monotonic() < deadline_s:
+            kind = rng.choice(["drain", "vanish"])
+            place = rng.randrange(len(self._workers))
+            self._replace_worker(kind, rng.choice([0.05, 0.4, 1.5, 3.0]), place)
+            time.sleep(rng.choice([0.1, 0.5, 1.2]))
 
-    def _replace(self, kind, hold_s, place):
+    def _replace_worker(self, kind, hold_s, place):
         """A worker leaves for good; after a while another comes in its place."""
         with self._lock:
             worker = self._workers[place]
             if worker.name in self._busy:
                 return
             self._busy.add(worker.name)
-        self._note(kind, hold_s, worker.name)
+        self._record(kind, hold_s, worker.name)
         if kind == "drain":
             worker.drain()
             time.sleep(DRAIN_S)
@@ -179,11 +181,11 @@
         else:
             worker.vanish()
         time.sleep(hold_s)
-        hired = self._hire(place)
+        replacement = self._start_worker(place)
         with self._lock:
-            self._workers[place] = hired
+            self._workers[place] = replacement
 
-    def _one(self, kind, hold_s, lot, roles, act):
+    def _process_fault(self, kind, hold_s, lot, roles, act):
         """A fault of one process; of the controllers one at a time."""
         plans = [plan for plan in self._running.plans if plan.role in roles]
         plan = plans[int(lot * len(plans))]
@@ -194,14 +196,14 @@
             if taken & self._busy:
                 return
             self._busy |= taken
-        self._note(kind, hold_s, plan.name)
+        self._record(kind, hold_s, plan.name)
         act(plan, hold_s)
-        self._free(taken)
+        self._release(taken)
 
-    def _link(self, kind, hold_s, lot, act):
+    def _link_fault(self, kind, hold_s, lot, act):
         names = self._relay.names()
         name = names[int(lot * len(names))]
-        self._note(kind, hold_s, name)
+        self._record(kind, hold_s, name)
         act(name)
         time.sleep(hold_s)
         self._relay.heal([name])
@@ -209,15 +211,15 @@
     def _await_member(self, plan):
         """Until a controller without a disk has a vote or copy again."""
         log = lambda: self._running.log(plan.name).rpartition("process_started")[2]
-        give_up_s = time.monotonic() + 20
-        while '"members_changed"' not in log() and time.monotonic() < give_up_s:
+        deadline_s = time.monotonic() + 20
+        while '"members_changed"' not in log() and time.monotonic() < deadline_s:
             time.sleep(0.1)
         time.sleep(1.0)
 
-    def _note(self, kind, hold_s, place):
+    def _record(self, kind, hold_s, place):
         at_s = time.monotonic() - self._began_s
         self.happened.append(Fault(at_s, hold_s, kind, place))
 
-    def _free(self, names):
+    def _release(self, names):
         with self._lock:
             self._busy -= set(names)
--- a/tools/soak/main.py
+++ b/tools/soak/main.py
@@ -24,7 +24,7 @@
     failed = []
     for seed in range(first, first + seeds):
         folder = pathlib.Path(tempfile.mkdtemp(prefix=f"alderreach-soak-{seed}-"))
-        played = day.play(seed, folder, seconds, callers.CRASHING)
+        played = day.play(seed, folder, seconds, callers.CRASHING_JOBS)
         print("\n".join(report.lines(played)), flush=True)
         if played.violations:
             failed.append(seed)
--- a/tools/soak/promises.py
+++ b/tools/soak/promises.py
@@ -13,9 +13,9 @@
 
 DONE = "done"
 # A third crash is proof enough; two more starts may be under way until it is known.
-CRASHES_MOST = 5
+MAX_CRASHES = 5
 # A task under which so many workers have crashed may be given up.
-CRASHES_LEAST = 2
+MIN_CRASHES_TO_GIVE_UP = 2
 
 
 class Step(typing.NamedTuple):
@@ -81,13 +81,13 @@
                 self.violations.append(
                     f"{task} starts on {worker.name}, runs on {other.name}"
                 )
-        self._check_order(task, job_id, int(number))
-        self._check_room(worker, order)
+        self._check_dependencies(task, job_id, int(number))
+        self._check_capacity(worker, order)
 
     def on_end_acknowledged(self, end):
         """An end was acknowledged."""
         if end.how == DONE:
-            self.acknowledged.update(self._over_with(end.task))
+            self.acknowledged.update(self._tasks_ending_with(end.task))
 
     def on_run_ended(self, task, how):
         """A run has ended on a worker."""
@@ -96,9 +96,9 @@
         self.done.add(task)
         # A worker that is gone may have taken a last start as it went.
         for worker in [worker for worker in self.workers if not worker.is_down]:
-            for mate in self._over_with(task):
-                if mate in worker.running:
-                    worker.end(mate, DONE)
+            for member in self._tasks_ending_with(task):
+                if member in worker.running:
+                    worker.end(member, DONE)
 
     def may_end(self, task):
         """The members of a gang work only while all of them run.
@@ -108,7 +108,7 @@
         if self._step_of(task).long_running:
             return task not in self.done
         present = {t for w in self.workers if not w.is_down for t in w.running}
-        return present.issuperset(self._over_with(task))
+        return present.issuperset(self._tasks_ending_with(task))
 
     def unfinished(self, job_id):
         """Tasks of a job of which no run has ended well.
@@ -121,19 +121,19 @@
                 over = self.done.intersection(self.running(job_id))
             return [task for task in self._tasks(job_id) if task not in over]
 
-    def is_crash(self, task):
+    def check_crash(self, task):
         """Whether a start that was carried out crashes its worker; counted."""
         if not self._step_of(task).crashes:
             return False
         with self.lock:
             self.crashes[task] += 1
-            if self.crashes[task] > CRASHES_MOST:
+            if self.crashes[task] > MAX_CRASHES:
                 self.violations.append(
                     f"{task} has crashed {self.crashes[task]} workers"
                 )
         return True
 
-    def note_crash(self, worker):
+    def on_crash(self, worker):
         """A worker is about to crash, under whatever runs there."""
         with self.lock:
             self.crashed_under.update(worker.running.keys())
@@ -141,10 +141,11 @@
     def may_fail(self, job_id):
         """Whether so many workers have crashed under a task that it may be given up."""
         return any(
-            self.crashed_under[task] >= CRASHES_LEAST for task in self._tasks(job_id)
+            self.crashed_under[task] >= MIN_CRASHES_TO_GIVE_UP
+            for task in self._tasks(job_id)
         )
 
-    def is_hopeless(self, job_id):
+    def must_fail(self, job_id):
         """Whether a job can't be done, since its tasks crash their workers."""
         return any(step.crashes for step in self.steps[job_id])
 
@@ -164,9 +165,9 @@
             ]
 
     def _started(self):
-        return [task for worker in self.workers for task in worker.closed] + [
-            task for worker in self.workers for task in worker.running
-        ]
+        return [
+            task for worker in self.workers for task in worker.highest_closed_run
+        ] + [task for worker in self.workers for task in worker.running]
 
     def _tasks(self, job_id):
         return [
@@ -175,7 +176,7 @@
             for index in range(step.count)
         ]
 
-    def _over_with(self, task):
+    def _tasks_ending_with(self, task):
         """The tasks that are over for good with a task: itself, or its gang."""
         job_id, occurrence, number, _index = task.split(".")
         step = self._step_of(task)
@@ -185,7 +186,7 @@
             return [task]
         return [f"{job_id}.{occurrence}.{number}.{n}" for n in range(step.count)]
 
-    def _check_order(self, task, job_id, number):
+    def _check_dependencies(self, task, job_id, number):
         steps = self.steps[job_id]
         for earlier in steps[number].after:
             for index in range(steps[earlier].count):
@@ -195,14 +196,14 @@
                     )
                     return
 
-    def _check_room(self, worker, order):
-        used = sum(self._need(task) for task in [*worker.running, order.task])
+    def _check_capacity(self, worker, order):
+        used = sum(self._cpu_demand(task) for task in [*worker.running, order.task])
         if used > worker.capacity.cpu_millis:
             self.violations.append(
                 f"{worker.name} is over its capacity by {order.task}"
             )
 
-    def _need(self, task):
+    def _cpu_demand(self, task):
         return self._step_of(task).cpu_millis
 
     def _step_of(self, task):
--- a/tools/standins/announcer.py
+++ b/tools/standins/announcer.py
@@ -8,7 +8,7 @@
 
 FIRST_HEARTBEAT_S = 0.2
 TIMEOUT_S = 1.0
-SENT_KEPT = 1000
+MAX_SENT_TIMES = 1000
 
 
 class Announcer:
@@ -67,7 +67,7 @@
         body = json.dumps(message).encode()
         sent_s = time.monotonic()
         self._sent_s[self._sequence] = sent_s
-        self._sent_s.pop(self._sequence - SENT_KEPT, None)
+        self._sent_s.pop(self._sequence - MAX_SENT_TIMES, None)
         url = f"http://{self._address}/v1/targets/{self._target_id}/announce"
         headers = {"Content-Type": "application/json"}
         try:
--- a/tools/virtual_cell.py
+++ b/tools/virtual_cell.py
@@ -44,7 +44,7 @@
 TICK_MS = 20
 LATE_AFTER_OBJECTIVES = 3
 # A submission without an answer is handed in again.
-CALLER_RETRIES_MS = 1000
+CALLER_RETRY_MS = 1000
 # What becomes of a job.
 ON_TIME = "on_time"
 LATE = "late"
@@ -70,8 +70,8 @@
         self, queues, records, helpers=12, good_shares=None, seed=1, restore_ms=600.0
     ):
         self.loop = virtual_load.Loop()
-        self.lots = random.Random(seed)
-        self._tasks = virtual_tasks.Tasks(self.loop, self.lots, restore_ms)
+        self.rng = random.Random(seed)
+        self._tasks = virtual_tasks.Tasks(self.loop, self.rng, restore_ms)
         self.cpu_s = 0.0
         self.cpu_by_second = collections.Counter()
         self.starts = 0
@@ -85,8 +85,8 @@
         self._queues = {queue.name: queue for queue in queues}
         self._good_shares = good_shares or {}
         self._helpers = [f"helper-{number}" for number in range(helpers)]
-        self._done_ms = {}
-        self._due = {}
+        self._completed_ms = {}
+        self._submissions = {}
         self._machines = {
             record.target_id: virtual_workers.Machine(self, record)
             for record in records
@@ -98,9 +98,9 @@
         self._log.targets = {record.target_id: record for record in records}
         self._epoch = 0
         self.term = None
-        self._lead_anew()
+        self._start_term()
         self.loop.after(0, self._tick)
-        self._heartbeats()
+        self._send_heartbeats()
 
     def submit(self, queue_name, job_id, works):
         """Hand a job in now."""
@@ -115,33 +115,33 @@
             0,
         )
         objective_ms = virtual_parts.objective_ms(self._queues[queue_name], works)
-        self._due[job_id] = (queue_name, self.loop.now_ms, objective_ms)
+        self._submissions[job_id] = (queue_name, self.loop.now_ms, objective_ms)
         self._submit_until_accepted(request)
 
-    def submit_at(self, moment_ms, queue_name, job_id, works):
+    def submit_at(self, time_ms, queue_name, job_id, works):
         """Hand a job in later."""
-        self.loop.at(moment_ms, lambda: self.submit(queue_name, job_id, works))
+        self.loop.at(time_ms, lambda: self.submit(queue_name, job_id, works))
 
     def _submit_until_accepted(self, request):
         accepted = []
         self._request(request, accepted.append)
 
-        def again():
+        def retry():
             if not accepted:
                 self._submit_until_accepted(request)
 
-        self.loop.after(CALLER_RETRIES_MS, again)
+        self.loop.after(CALLER_RETRY_MS, retry)
 
     def run_until(self, end_ms):
         """Let time pass."""
         self.loop.run_until(end_ms)
-        self._note_done()
+        self._record_completions()
 
     def outcomes(self):
         """An Outcome for each queue."""
-        self._note_done()
+        self._record_completions()
         counts = collections.defaultdict(collections.Counter)
-        for job_id, (queue_name, _due_ms, _objective_ms) in self._due.items():
+        for job_id, (queue_name, _due_ms, _objective_ms) in self._submissions.items():
             counts[queue_name][self.outcome_of(job_id)] += 1
         return {
             name: virtual_parts.Outcome(
@@ -152,54 +152,54 @@
 
     def outcome_of(self, job_id):
         """Whether a job was done ON_TIME, LATE or NEVER, so far."""
-        _queue_name, due_ms, objective_ms = self._due[job_id]
-        took_ms = self._done_ms.get(job_id, math.inf) - due_ms
+        _queue_name, submitted_ms, objective_ms = self._submissions[job_id]
+        took_ms = self._completed_ms.get(job_id, math.inf) - submitted_ms
         if took_ms <= objective_ms:
             return ON_TIME
         return LATE if took_ms <= LATE_AFTER_OBJECTIVES * objective_ms else NEVER
 
-    def leave_at(self, moment_ms, target_ids):
+    def leave_at(self, time_ms, target_ids):
         """Workers that end later, with all that runs there, and never come back."""
         for target_id in target_ids:
-            self.loop.at(moment_ms, self._machines[target_id].leave)
+            self.loop.at(time_ms, self._machines[target_id].leave)
 
-    def crash_at(self, moment_ms, target_ids):
+    def crash_at(self, time_ms, target_ids):
         """Workers that end later without a word; nobody answers in their place."""
         for target_id in target_ids:
-            self.loop.at(moment_ms, self._machines[target_id].crash)
+            self.loop.at(time_ms, self._machines[target_id].crash)
 
-    def join_at(self, moment_ms, records):
+    def join_at(self, time_ms, records):
         """Workers that are there from a later moment on."""
         for record in records:
-            self.loop.at(moment_ms, lambda record=record: self._join(record))
+            self.loop.at(time_ms, lambda record=record: self._join(record))
 
-    def cut_off_at(self, moment_ms, target_ids, for_ms):
+    def cut_off_at(self, time_ms, target_ids, for_ms):
         """Workers that neither hear nor answer for a while."""
         for target_id in target_ids:
             machine = self._machines[target_id]
-            self.loop.at(moment_ms, machine.cut_off)
-            self.loop.at(moment_ms + for_ms, machine.come_back)
+            self.loop.at(time_ms, machine.cut_off)
+            self.loop.at(time_ms + for_ms, machine.reconnect)
 
-    def drain_at(self, moment_ms, target_ids, for_ms):
+    def drain_at(self, time_ms, target_ids, for_ms):
         """Workers that get nothing new from a moment on, and leave a while later."""
         for target_id in target_ids:
-            self.loop.at(moment_ms, lambda name=target_id: self._drain(name))
-            self.loop.at(
-                moment_ms + for_ms, lambda name=target_id: self._withdraw(name)
-            )
+            self.loop.at(time_ms, lambda name=target_id: self._drain(name))
+            self.loop.at(time_ms + for_ms, lambda name=target_id: self._withdraw(name))
 
-    def lose_leader_at(self, moment_ms, for_ms):
+    def lose_leader_at(self, time_ms, for_ms):
         """The leader ends with all it has not committed; later another takes over."""
-        self.loop.at(moment_ms, self._lose_leader)
-        self.loop.at(moment_ms + for_ms, self._lead_anew)
+        self.loop.at(time_ms, self._lose_leader)
+        self.loop.at(time_ms + for_ms, self._start_term)
 
-    def call(self, act):
+    def call(self, callback):
         """Have something happen at a worker."""
-        self.loop.after(HOP_MS, act)
+        self.loop.after(HOP_MS, callback)
 
-    def mail(self, mail):
+    def deliver(self, answer):
         """A worker's answer, on its way to the leader."""
-        self.loop.after(HOP_MS, lambda: self._lead(lambda: self._take(mail)))
+        self.loop.after(
+            HOP_MS, lambda: self._run_leader(lambda: self._handle_answer(answer))
+        )
 
     def work_of(self, order):
         """How long a run works, and how it ends."""
@@ -209,18 +209,18 @@
         """The step of a task."""
         return self._tasks.step_of(key)
 
-    def began(self, machine, run):
+    def on_run_started(self, machine, run):
         """A run began on a worker."""
-        self._tasks.began(machine, run)
+        self._tasks.on_run_started(machine, run)
 
-    def ended(self, machine, run, how):
+    def on_run_ended(self, machine, run, how):
         """A run ended on a worker, or went with it."""
 
     def save(self, run, how, now_ms):
         """What a run that ends leaves: its checkpoint if its step saves."""
         return self._tasks.save(run, how, now_ms)
 
-    def _lead_anew(self):
+    def _start_term(self):
         """A new term begins, with what is committed."""
         self._epoch += 1
         now_ms = lambda: int(self.loop.now_ms)
@@ -232,12 +232,12 @@
                 clock=clocks.Clock(now_ms, now_ms),
                 metrics=metrics.Metrics(),
                 record=self._record,
-                confirm=lambda act, _refuse: self._after_commit(act),
+                confirm=lambda callback, _refuse: self._after_commit(callback),
                 committed=lambda: self._log,
                 cell_offset_ms=lambda: 0,
                 is_time_known=lambda: True,
                 helpers=lambda: self._helpers,
-                send_query=self._ask,
+                send_query=self._send_query,
                 open_link=self._open_link,
                 contact="",
             ),
@@ -246,13 +246,13 @@
     def _lose_leader(self):
         self.term = None
 
-    def _after_commit(self, act):
+    def _after_commit(self, callback):
         """Have something happen after a commit, if that leader still leads."""
         term = self.term
 
         def if_leading():
             if self.term is term:
-                act()
+                callback()
 
         self.loop.after(COMMIT_MS, if_leading)
 
@@ -267,34 +267,34 @@
         if kind == "step_waits":
             self.waits.append(fields)
 
-    def _take(self, mail):
-        if mail.epoch != self._epoch:
+    def _handle_answer(self, answer):
+        if answer.epoch != self._epoch:
             return
-        if isinstance(mail, target_link.OrderAnswered):
-            order_answers.handle_order_answer(self.term.leader, mail)
+        if isinstance(answer, target_link.OrderAnswered):
+            order_answers.handle_order_answer(self.term.leader, answer)
         else:
             self.polls += 1
-            worker_polls.handle_poll_answer(self.term.leader, mail)
+            worker_polls.handle_poll_answer(self.term.leader, answer)
 
-    def _lead(self, act):
+    def _run_leader(self, callback):
         """Run some of the leader's code, plan, and have the decisions committed."""
         if self.term is None:
             return
         began_s = time.process_time()
-        act()
+        callback()
         self.term.planner.plan(int(self.loop.now_ms))
         batch, effects = self.term.leader.pop_batch()
         took_s = time.process_time() - began_s
         self.cpu_s += took_s
         self.cpu_by_second[int(self.loop.now_ms // 1000)] += took_s
         if batch is not None:
-            self._after_commit(lambda: self._committed(batch, effects))
+            self._after_commit(lambda: self._on_commit(batch, effects))
 
-    def _committed(self, batch, effects):
+    def _on_commit(self, batch, effects):
         cell_state.apply_batch(self._log, batch)
-        self._note_done()
+        self._record_completions()
         for effect in effects:
-            self._lead(effect)
+            self._run_leader(effect)
 
     def _tick(self):
         def tick():
@@ -302,17 +302,17 @@
             self.term.leader.permissions.give_up_overdue(now_ms)
             running.tick(self.term.leader, now_ms)
 
-        self._lead(tick)
+        self._run_leader(tick)
         self.loop.after(TICK_MS, self._tick)
 
-    def _heartbeats(self):
-        self.loop.after(1000, self._heartbeats)
+    def _send_heartbeats(self):
+        self.loop.after(1000, self._send_heartbeats)
         if self.term is None:
             return
         self.term.leader.tidy()
         self.term.planner.tidy()
         for target_id, machine in self._machines.items():
-            if machine.is_gone or machine.is_cut_off:
+            if machine.has_ended or machine.is_cut_off:
                 continue
             worker = self.term.leader.workers.get(target_id)
             if worker is None or worker.record != machine.record:
@@ -332,44 +332,44 @@
     def _drain(self, target_id):
         machine = self._machines[target_id]
         machine.record = machine.record._replace(state="draining")
-        if not machine.is_gone and not machine.is_cut_off:
+        if not machine.has_ended and not machine.is_cut_off:
             self._announce(machine.record)
 
     def _withdraw(self, target_id):
         machine = self._machines[target_id]
-        if not machine.is_gone and not machine.is_cut_off:
+        if not machine.has_ended and not machine.is_cut_off:
             self._request(cell.WithdrawTarget(target_id))
         machine.leave()
 
     def _request(self, request, reply=lambda answer: None):
-        self._lead(lambda: requests.handle(self.term, request, reply))
+        self._run_leader(lambda: requests.handle(self.term, request, reply))
 
-    def answers(self, question):
+    def answer_kind(self, query):
         """How the permission service answers: DECIDED, UNDECIDED or SILENT."""
         return DECIDED
 
-    def _ask(self, question):
-        how = self.answers(question)
-        if question.helper in self.silent_helpers or how == SILENT:
+    def _send_query(self, query):
+        how = self.answer_kind(query)
+        if query.helper in self.silent_helpers or how == SILENT:
             return
-        job = self.term.leader.state.jobs[question.group[0]]
+        job = self.term.leader.state.jobs[query.group[0]]
         rule = self.term.leader.queue_of(job).permission
-        took_ms = rule.decision_ms + rule.per_target_ms * len(question.target_ids)
+        took_ms = rule.decision_ms + rule.per_target_ms * len(query.target_ids)
         granted = [
             cell.Ticket(target_id, "t")
-            for target_id in question.target_ids
-            if self._may_run(job, question.group, target_id)
+            for target_id in query.target_ids
+            if self._may_run(job, query.group, target_id)
         ]
-        is_cut = question.helper in self.cut_helpers
+        is_cut = query.helper in self.cut_helpers
         is_decided = how == DECIDED and not is_cut
         answer = cell.PermissionAnswer(
-            question.query_id, is_decided, granted if is_decided else []
+            query.query_id, is_decided, granted if is_decided else []
         )
         term = self.term
 
         def tell():
             if self.term is term:
-                self._lead(
+                self._run_leader(
                     lambda: permission_answers.handle_answer(term.leader, answer)
                 )
 
@@ -379,9 +379,9 @@
         share = self._good_shares.get(job.record.queue.name, 1.0)
         return random.Random(f"{group}{target_id}").random() < share
 
-    def _note_done(self):
+    def _record_completions(self):
         jobs = self.term.leader.state.jobs if self.term else self._log.jobs
-        for job_id in self._due:
+        for job_id in self._submissions:
             is_done = job_id in jobs and jobs[job_id].state == cell_state.COMPLETED
-            if is_done and job_id not in self._done_ms:
-                self._done_ms[job_id] = self.loop.now_ms
+            if is_done and job_id not in self._completed_ms:
+                self._completed_ms[job_id] = self.loop.now_ms
--- a/tools/virtual_crashes.py
+++ b/tools/virtual_crashes.py
@@ -16,29 +16,29 @@
 from tools import virtual_days, virtual_watch, virtual_workers
 
 # A third crash is proof enough; two more starts may be under way until it is known.
-STARTS_MOST = 5
-JOBS_PER_CULPRIT = 15
+MAX_STARTS = 5
+JOBS_PER_CRASHING_TASK = 15
 # Squares of the milliseconds after which a run crashes its worker.
 CRASH_MS_SQUARED = (1.0, 200.0)
-BACK_AFTER_MS = (1_000, 12_000)
+RESTART_AFTER_MS = (1_000, 12_000)
 
 
 class CrashDay(virtual_days.Day):
     """One random day; every choice comes from the seed."""
 
     def __init__(self, seed):
-        self.culprits = set()
-        self.culprit_starts = collections.Counter()
+        self.crashing_tasks = set()
+        self.crashing_starts = collections.Counter()
         self.crashes = 0
         super().__init__(seed)
 
-    def began(self, machine, run):
+    def on_run_started(self, machine, run):
         """A run began, which may take its worker down."""
-        super().began(machine, run)
+        super().on_run_started(machine, run)
         key = virtual_workers.task_key(run.order.task)
-        if key not in self.culprits or machine.is_gone:
+        if key not in self.crashing_tasks or machine.has_ended:
             return
-        self.culprit_starts[key] += 1
+        self.crashing_starts[key] += 1
         crash_ms = self.choices.uniform(*CRASH_MS_SQUARED) ** 0.5
         self.loop.after(crash_ms, lambda: self._crash(machine))
 
@@ -46,34 +46,34 @@
         """Tasks that crash workers and were started too often."""
         return [
             (str(key), starts)
-            for key, starts in self.culprit_starts.items()
-            if starts > STARTS_MOST
+            for key, starts in self.crashing_starts.items()
+            if starts > MAX_STARTS
         ]
 
     def _crash(self, machine):
-        if machine.is_gone:
+        if machine.has_ended:
             return
         self.crashes += 1
-        back_after_ms = self.choices.randrange(*BACK_AFTER_MS)
-        until_ms = self.loop.now_ms + back_after_ms + virtual_watch.SILENT_LEASE_MS
-        self.watch.disturbed(until_ms)
+        restart_after_ms = self.choices.randrange(*RESTART_AFTER_MS)
+        until_ms = self.loop.now_ms + restart_after_ms + virtual_watch.SILENT_LEASE_MS
+        self.watch.on_disturbance(until_ms)
         machine.refuse()
-        born_ms = int(self.loop.now_ms) + back_after_ms
+        born_ms = int(self.loop.now_ms) + restart_after_ms
         name = f"{machine.record.target_id}+"
         record = machine.record._replace(target_id=name, born_ms=born_ms, state="ready")
-        self.loop.after(back_after_ms, machine.come_back_as_another)
+        self.loop.after(restart_after_ms, machine.accept_new_incarnation)
         self.join_at(born_ms, [record])
 
-    def _submit(self, moment_ms, queue, works):
-        super()._submit(moment_ms, queue, works)
-        if self.choices.randrange(JOBS_PER_CULPRIT):
+    def _submit(self, time_ms, queue, works):
+        super()._submit(time_ms, queue, works)
+        if self.choices.randrange(JOBS_PER_CRASHING_TASK):
             return
         step = self.choices.randrange(len(works))
         index = self.choices.randrange(works[step].step.tasks)
-        self.culprits.add(cell_state.TaskKey(f"j{self._number}", 0, step, index))
+        self.crashing_tasks.add(cell_state.TaskKey(f"j{self._number}", 0, step, index))
 
     def _may_have_failed(self, job):
         """A job may also fail for a task of its own that crashes workers."""
-        if any(key.job_id == job.record.job_id for key in self.culprits):
+        if any(key.job_id == job.record.job_id for key in self.crashing_tasks):
             return True
         return super()._may_have_failed(job)
--- a/tools/virtual_days.py
+++ b/tools/virtual_days.py
@@ -22,14 +22,24 @@
 from tools import virtual_cell, virtual_parts, virtual_watch, virtual_workers
 
 EVENTS_FROM_MS, EVENTS_TO_MS = 3_000, 14_000
-KINDS = ("leave", "crash", "drain", "cut", "cut", "join", "reborn", "leader", "leader")
-NO_LEADER_MS = (300, 1500, 4000)
-REBORN_AFTER_MS = 700
+EVENT_KINDS = (
+    "leave",
+    "crash",
+    "drain",
+    "cut",
+    "cut",
+    "join",
+    "reborn",
+    "leader",
+    "leader",
+)
+LEADERLESS_MS = (300, 1500, 4000)
+RESTART_AFTER_MS = 700
 LOAD_MS = 20_000
 END_MS = 60_000
 # As many processes as the largest site has.
 HELPERS = 47
-LASTING_SHARE = 0.2
+LONG_RUNNING_SHARE = 0.2
 # A wide step takes at most this share of all that may run it, when that is empty.
 WIDE_SHARE = 0.45
 CORES = 1000
@@ -43,23 +53,23 @@
 
     def __init__(self, seed):
         self.choices = random.Random(seed)
-        lots = self.choices
-        self.queues = _queues(lots)
-        self.workers = lots.choice([lots.randrange(10, 25), lots.randrange(40, 91)])
+        rng = self.choices
+        self.queues = _queues(rng)
+        self.workers = rng.choice([rng.randrange(10, 25), rng.randrange(40, 91)])
         records = [self._worker(number) for number in range(self.workers)]
         self.capacity_millis = sum(record.capacity.cpu_millis for record in records)
-        self._undecided_share = lots.choice([0.0, 0.02, 0.1])
-        self._silent_share = lots.choice([0.0, 0.01, 0.03])
+        self._undecided_share = rng.choice([0.0, 0.02, 0.1])
+        self._silent_share = rng.choice([0.0, 0.01, 0.03])
         self._done = collections.defaultdict(set)
         self._failures = collections.Counter()
         self._number = 0
         self.events = []
-        self._shares = {queue.name: lots.uniform(0.2, 0.8) for queue in self.queues}
+        self._shares = {queue.name: rng.uniform(0.2, 0.8) for queue in self.queues}
         self._shares["open"] = 1.0
         super().__init__(self.queues, records, HELPERS, self._shares, seed)
         self.watch = virtual_watch.Watch(self)
         self._submit_all()
-        self._disturb({record.target_id: record for record in records})
+        self._schedule_events({record.target_id: record for record in records})
         self._watch()
 
     def play(self):
@@ -99,10 +109,10 @@
 
     def _may_have_failed(self, job):
         """Whether the runs of some task, or of a gang, have failed often enough."""
-        most = job.record.queue.max_attempts
+        max_attempts = job.record.queue.max_attempts
         job_id = job.record.job_id
         return any(
-            failures >= most
+            failures >= max_attempts
             for key, failures in self._failures.items()
             if key[0] == job_id
         )
@@ -123,23 +133,23 @@
         tasks = self.term.leader.state.jobs[group.job_id].groups[group[1:]]
         return {n for n, task in enumerate(tasks) if task.state != cell_state.DONE}
 
-    def answers(self, question):
+    def answer_kind(self, query):
         """Now and then no decision, or no answer, which excuses the step's wait."""
-        lot = self.lots.random()
-        if lot >= self._undecided_share + self._silent_share:
+        draw = self.rng.random()
+        if draw >= self._undecided_share + self._silent_share:
             return virtual_cell.DECIDED
         excused = self.watch.excused_ms
-        excused[question.group] = max(question.due_ms, excused.get(question.group, 0))
-        is_silent = lot < self._silent_share
+        excused[query.group] = max(query.due_ms, excused.get(query.group, 0))
+        is_silent = draw < self._silent_share
         return virtual_cell.SILENT if is_silent else virtual_cell.UNDECIDED
 
-    def began(self, machine, run):
+    def on_run_started(self, machine, run):
         """A run began, so its step does not stand still."""
         key = virtual_workers.task_key(run.order.task)
         self.watch.started_ms[cell_state.GroupKey(*key[:3])] = self.loop.now_ms
-        super().began(machine, run)
+        super().on_run_started(machine, run)
 
-    def ended(self, machine, run, how):
+    def on_run_ended(self, machine, run, how):
         """A run ended."""
         key = virtual_workers.task_key(run.order.task)
         group = cell_state.GroupKey(*key[:3])
@@ -160,123 +170,125 @@
         return made._replace(labels=[self.choices.choice("ab"), made.labels[-1]])
 
     def _submit_all(self):
-        lots = self.choices
-        lasting = 0
-        while lasting < LASTING_SHARE * self.capacity_millis:
-            work = self._lasting()
-            lasting += work.step.tasks * work.step.demand.cpu_millis
-            queue = lots.choice(self.queues)
-            self._submit(lots.uniform(0, LOAD_MS / 2), queue, [work])
-        room_ms = lots.uniform(0.1, 0.8) * self.capacity_millis * LOAD_MS
-        while room_ms > 0:
-            queue = lots.choice(self.queues)
+        rng = self.choices
+        long_running_millis = 0
+        while long_running_millis < LONG_RUNNING_SHARE * self.capacity_millis:
+            work = self._long_running_work()
+            long_running_millis += work.step.tasks * work.step.demand.cpu_millis
+            queue = rng.choice(self.queues)
+            self._submit(rng.uniform(0, LOAD_MS / 2), queue, [work])
+        remaining_work = rng.uniform(0.1, 0.8) * self.capacity_millis * LOAD_MS
+        while remaining_work > 0:
+            queue = rng.choice(self.queues)
             works = self._works_of_a_job(self._shares[queue.name])
             for work in works:
                 if not work.step.best_effort:
-                    room_ms -= sum(work.work_ms) * work.step.demand.cpu_millis
-            self._submit(lots.uniform(0, LOAD_MS), queue, works)
+                    remaining_work -= sum(work.work_ms) * work.step.demand.cpu_millis
+            self._submit(rng.uniform(0, LOAD_MS), queue, works)
 
-    def _submit(self, moment_ms, queue, works):
+    def _submit(self, time_ms, queue, works):
         self._number += 1
-        self.submit_at(moment_ms, queue.name, f"j{self._number}", works)
+        self.submit_at(time_ms, queue.name, f"j{self._number}", works)
 
-    def _lasting(self):
-        lots = self.choices
-        tasks = lots.randrange(1, 5)
+    def _long_running_work(self):
+        rng = self.choices
+        tasks = rng.randrange(1, 5)
         step = virtual_parts.step(
             tasks,
-            lots.choice([1, 2, 4]) * CORES,
-            lots.choice([1, 2, 4]) * CORES,
+            rng.choice([1, 2, 4]) * CORES,
+            rng.choice([1, 2, 4]) * CORES,
             1000,
             long_running=True,
-            max_per_target=lots.choice([0, 1]),
-            checkpointing=lots.random() < 0.5,
+            max_per_target=rng.choice([0, 1]),
+            checkpointing=rng.random() < 0.5,
         )
-        return virtual_parts.Work(step, [math.inf] * tasks, lots.choice([0, 0.3, 0.8]))
+        return virtual_parts.Work(step, [math.inf] * tasks, rng.choice([0, 0.3, 0.8]))
 
     def _works_of_a_job(self, share):
-        lots = self.choices
+        rng = self.choices
         works = []
-        for number in range(lots.choice([1, 1, 2, 3, 5])):
-            after = sorted(lots.sample(range(number), min(number, lots.choice([1, 2]))))
+        for number in range(rng.choice([1, 1, 2, 3, 5])):
+            after = sorted(rng.sample(range(number), min(number, rng.choice([1, 2]))))
             works.append(self._work(after, share))
         return works
 
     def _work(self, after, share):
-        lots = self.choices
-        tasks = lots.choice([1, 1, 2, 2, 4, 4, 8, 16, 31, 60])
-        max_per_target = lots.choice([0, 0, 0, 0, 1, 2])
+        rng = self.choices
+        tasks = rng.choice([1, 1, 2, 2, 4, 4, 8, 16, 31, 60])
+        max_per_target = rng.choice([0, 0, 0, 0, 1, 2])
         if max_per_target:
             places = max_per_target * share * self.workers
             tasks = max(1, min(tasks, int(WIDE_SHARE * places)))
-        is_gang = lots.random() < 0.25
-        most = WIDE_SHARE * share * self.capacity_millis / tasks
-        cpu = int(min(CORES * lots.choice([1, 4, 8]), lots.uniform(0.2, 1) * most))
+        is_gang = rng.random() < 0.25
+        max_cpu = WIDE_SHARE * share * self.capacity_millis / tasks
+        cpu = int(min(CORES * rng.choice([1, 4, 8]), rng.uniform(0.2, 1) * max_cpu))
         cpu = max(CORES // 4, cpu)
-        mean_ms = lots.choice([100, 400, 1000, 2000])
-        work_ms = [mean_ms * lots.uniform(0.7, 1.5) for _ in range(tasks)]
+        mean_ms = rng.choice([100, 400, 1000, 2000])
+        work_ms = [mean_ms * rng.uniform(0.7, 1.5) for _ in range(tasks)]
         if is_gang:
             work_ms = [mean_ms] * tasks
         step = virtual_parts.step(
             tasks,
             cpu,
-            int(cpu * lots.choice([0.5, 1, 2])),
-            int(mean_ms * lots.choice([0.3, 1, 1, 3])),
+            int(cpu * rng.choice([0.5, 1, 2])),
+            int(mean_ms * rng.choice([0.3, 1, 1, 3])),
             after,
             gang=is_gang,
-            same_rack=is_gang and lots.random() < 0.3,
+            same_rack=is_gang and rng.random() < 0.3,
             max_per_target=max_per_target,
-            checkpointing=lots.random() < 0.4,
-            best_effort=not is_gang and lots.random() < 0.1,
-            required_label=lots.choice(["", "", "", "", "a"]),
-            allow_duplicates=not is_gang and lots.random() < 0.2,
+            checkpointing=rng.random() < 0.4,
+            best_effort=not is_gang and rng.random() < 0.1,
+            required_label=rng.choice(["", "", "", "", "a"]),
+            allow_duplicates=not is_gang and rng.random() < 0.2,
         )
-        return virtual_parts.Work(step, work_ms, lots.choice([0, 0, 0, 0.02, 0.1]))
+        return virtual_parts.Work(step, work_ms, rng.choice([0, 0, 0, 0.02, 0.1]))
 
-    def _disturb(self, by_id):
+    def _schedule_events(self, by_id):
         """Workers leave, crash, drain, are cut off, added and reborn; leaders end."""
-        lots, target_ids, number = self.choices, list(by_id), len(by_id)
-        for _event in range(lots.randrange(0, 7)):
-            moment_ms = lots.uniform(EVENTS_FROM_MS, EVENTS_TO_MS)
-            chosen = lots.sample(target_ids, lots.randrange(1, len(target_ids) // 4))
-            kind = lots.choice(KINDS)
-            for_ms = lots.choice([300, 2000, 4800, 5600, 7000, 12_000])
-            self.events.append((int(moment_ms), kind, chosen, for_ms))
-            until_ms = moment_ms
+        rng, target_ids, number = self.choices, list(by_id), len(by_id)
+        for _event in range(rng.randrange(0, 7)):
+            time_ms = rng.uniform(EVENTS_FROM_MS, EVENTS_TO_MS)
+            chosen = rng.sample(target_ids, rng.randrange(1, len(target_ids) // 4))
+            kind = rng.choice(EVENT_KINDS)
+            for_ms = rng.choice([300, 2000, 4800, 5600, 7000, 12_000])
+            self.events.append((int(time_ms), kind, chosen, for_ms))
+            until_ms = time_ms
             if kind == "leave":
-                self.leave_at(moment_ms, chosen)
+                self.leave_at(time_ms, chosen)
             elif kind == "crash":
-                self.crash_at(moment_ms, chosen)
+                self.crash_at(time_ms, chosen)
                 until_ms += virtual_watch.SILENT_LEASE_MS
             elif kind == "drain":
-                self.drain_at(moment_ms, chosen, 2000)
+                self.drain_at(time_ms, chosen, 2000)
                 until_ms += 2000 + virtual_watch.SILENT_LEASE_MS
             elif kind == "leader":
-                gap_ms = lots.choice(NO_LEADER_MS)
-                self.lose_leader_at(moment_ms, gap_ms)
+                gap_ms = rng.choice(LEADERLESS_MS)
+                self.lose_leader_at(time_ms, gap_ms)
                 until_ms += gap_ms + virtual_watch.SILENT_LEASE_MS
             elif kind == "reborn":
-                self.crash_at(moment_ms, chosen)
-                born_ms = int(moment_ms) + REBORN_AFTER_MS
-                lives = [by_id[name]._replace(born_ms=born_ms) for name in chosen]
-                self.join_at(born_ms, lives)
+                self.crash_at(time_ms, chosen)
+                born_ms = int(time_ms) + RESTART_AFTER_MS
+                incarnations = [
+                    by_id[name]._replace(born_ms=born_ms) for name in chosen
+                ]
+                self.join_at(born_ms, incarnations)
                 until_ms += virtual_watch.SILENT_LEASE_MS
             elif kind == "cut":
-                self.cut_off_at(moment_ms, chosen, for_ms)
+                self.cut_off_at(time_ms, chosen, for_ms)
                 until_ms += max(for_ms, virtual_watch.SILENT_LEASE_MS)
             else:
                 records = [self._worker(number + n) for n in range(len(chosen))]
                 number += len(records)
-                self.join_at(moment_ms, records)
-            self.loop.at(moment_ms, lambda ms=until_ms: self.watch.disturbed(ms))
+                self.join_at(time_ms, records)
+            self.loop.at(time_ms, lambda ms=until_ms: self.watch.on_disturbance(ms))
 
 
-def _queues(lots):
+def _queues(rng):
     """A queue without a rule, one with a quick rule, two with a slow one."""
 
     def rule(low_ms, high_ms, per_target_ms):
         return cell.PermissionRule(
-            lots.randrange(low_ms, high_ms), per_target_ms, lots.randrange(1500, 2501)
+            rng.randrange(low_ms, high_ms), per_target_ms, rng.randrange(1500, 2501)
         )
 
     queue = virtual_parts.queue
--- a/tools/virtual_load.py
+++ b/tools/virtual_load.py
@@ -28,16 +28,16 @@
         self._events = []
         self._order = itertools.count()
 
-    def at(self, moment_ms, act):
-        heapq.heappush(self._events, (moment_ms, next(self._order), act))
+    def at(self, time_ms, callback):
+        heapq.heappush(self._events, (time_ms, next(self._order), callback))
 
-    def after(self, delay_ms, act):
-        self.at(self.now_ms + delay_ms, act)
+    def after(self, delay_ms, callback):
+        self.at(self.now_ms + delay_ms, callback)
 
     def run_until(self, end_ms):
         while self._events and self._events[0][0] <= end_ms:
-            self.now_ms, _, act = heapq.heappop(self._events)
-            act()
+            self.now_ms, _, callback = heapq.heappop(self._events)
+            callback()
         self.now_ms = end_ms
 
 
@@ -50,7 +50,7 @@
     priority: int = 5
 
 
-class Got(typing.NamedTuple):
+class CallResult(typing.NamedTuple):
     """What a caller got, and when it was sent."""
 
     call: Call
@@ -64,8 +64,8 @@
     @property
     def is_good(self):
         """Answered without error within its deadline."""
-        is_whole = self.outcome == "ran" and self.status < 500
-        return is_whole and self.took_ms <= self.call.deadline_ms
+        was_answered = self.outcome == "ran" and self.status < 500
+        return was_answered and self.took_ms <= self.call.deadline_ms
 
 
 class Runner:
@@ -81,7 +81,7 @@
         self.full_hits = 0
         self.busy_ms = 0.0
 
-    def take(self, call, done):
+    def handle(self, call, done):
         """Serve a call; ``done(result, status)`` when it has ended here."""
         if self.mode == "gone":
             done(serving.UNREACHABLE, 0)
@@ -110,12 +110,12 @@
 class Entry:
     """Carries out the decisions of one service as the entry's threads do."""
 
-    def __init__(self, loop, policy, domain, runners, got):
+    def __init__(self, loop, policy, domain, runners, results):
         self.loop = loop
         self.policy = policy
         self.domain = domain
         self._runners = {runner.view.runner_id: runner for runner in runners}
-        self._got = got
+        self._results = results
         self._open = {}
         self._numbers = itertools.count()
         loop.after(TICK_MS, self._tick)
@@ -128,13 +128,13 @@
         ask = serving.Ask(
             request_id, call.team, call.priority, now_ms, now_ms + call.deadline_ms
         )
-        self._carry_out(self.policy.submit(ask, now_ms))
+        self._apply(self.policy.submit(ask, now_ms))
 
     def _tick(self):
         self.loop.after(TICK_MS, self._tick)
-        self._carry_out(self.policy.tick(self.loop.now_ms)[0])
+        self._apply(self.policy.tick(self.loop.now_ms)[0])
 
-    def _carry_out(self, decisions):
+    def _apply(self, decisions):
         for decision in decisions:
             if isinstance(decision, serving.Grant):
                 self._send(decision)
@@ -150,12 +150,14 @@
         if grant.runner.failure_domain != self.domain:
             hop_ms += DOMAIN_HOP_MS
 
-        def back(result, status):
-            self.loop.after(hop_ms, lambda: self._ended(grant, result, status, sent_ms))
+        def on_response(result, status):
+            self.loop.after(
+                hop_ms, lambda: self._on_attempt_ended(grant, result, status, sent_ms)
+            )
 
-        self.loop.after(hop_ms, lambda: runner.take(state[0], back))
+        self.loop.after(hop_ms, lambda: runner.handle(state[0], on_response))
 
-    def _ended(self, grant, result, status, sent_ms):
+    def _on_attempt_ended(self, grant, result, status, sent_ms):
         now_ms = self.loop.now_ms
         request_id, runner_id = grant.request_id, grant.runner.runner_id
         run_ms = now_ms - sent_ms
@@ -163,7 +165,7 @@
         call, arrived_ms, attempts, avoided, _ = state = self._open[request_id]
         if result == serving.ANSWERED:
             self._end(request_id, "ran", status, 0)
-        self._carry_out(self.policy.on_attempt_ended(ended, now_ms))
+        self._apply(self.policy.on_attempt_ended(ended, now_ms))
         if result == serving.ANSWERED:
             return
         state[3] = avoided = (*avoided, runner_id)
@@ -176,13 +178,15 @@
             attempts + 1,
             result,
         )
-        self._carry_out(self.policy.submit(ask, now_ms, avoided))
+        self._apply(self.policy.submit(ask, now_ms, avoided))
 
     def _end(self, request_id, outcome, status, retry_after_ms):
         call, arrived_ms, attempts, _, _ = self._open.pop(request_id)
         took_ms = self.loop.now_ms - arrived_ms
-        got = Got(call, outcome, status, arrived_ms, took_ms, retry_after_ms, attempts)
-        self._got.append(got)
+        result = CallResult(
+            call, outcome, status, arrived_ms, took_ms, retry_after_ms, attempts
+        )
+        self._results.append(result)
 
 
 class Cell:
@@ -204,13 +208,13 @@
         ]
         self.entries = []
         for domain in range(domains):
-            place = serving.EntryLocation(
+            location = serving.EntryLocation(
                 f"domain-{domain}", entries, domains * entries
             )
             for _ in range(entries):
-                policy = make_policy(place, random.Random(len(self.entries)))
+                policy = make_policy(location, random.Random(len(self.entries)))
                 policy.set_runners([runner.view for runner in self.runners])
-                name = place.failure_domain
+                name = location.failure_domain
                 made = Entry(self.loop, policy, name, self.runners, self.results)
                 self.entries.append(made)
 
@@ -233,19 +237,19 @@
 
         self.loop.at(start_ms, schedule)
 
-    def burst(self, number, make_call, moment_ms, entry=None):
+    def burst(self, number, make_call, time_ms, entry=None):
         """So many requests at one moment, to one entry or spread evenly."""
         for turn in range(number):
             target = entry or self.entries[turn % len(self.entries)]
             call = make_call(self.random)
-            self.loop.at(moment_ms, lambda e=target, c=call: e.submit(c))
+            self.loop.at(time_ms, lambda e=target, c=call: e.submit(c))
 
     def run(self, end_ms):
         """Let time pass, and all that is open then end."""
         self.loop.run_until(end_ms)
         return self
 
-    def views_changed(self):
+    def update_views(self):
         """Tell the entries of runners that left for good."""
         views = [r.view for r in self.runners if r.mode != "gone"]
         for entry in self.entries:
@@ -270,8 +274,8 @@
 def make_service(queue_length=64, weights=None, declared_run_ms=0):
     """A ``make_policy`` for ``Cell`` with the project's own decisions."""
 
-    def make(place, chance):
-        service = serving.Service(place, queue_length, chance)
+    def make(location, rng):
+        service = serving.Service(location, queue_length, rng)
         service.configure(weights or {}, declared_run_ms)
         return service
 
--- a/tools/virtual_tasks.py
+++ b/tools/virtual_tasks.py
@@ -14,18 +14,18 @@
 from tools import virtual_workers
 
 # A lasting run that fails does so after this, evenly.
-LASTING_FAILS_MS = (1000.0, 10_000.0)
+LONG_RUNNING_FAILURE_MS = (1000.0, 10_000.0)
 
 
 class Tasks:
     """The tasks of all jobs; going on from a checkpoint takes ``restore_ms``."""
 
-    def __init__(self, loop, lots, restore_ms):
+    def __init__(self, loop, rng, restore_ms):
         self._loop = loop
-        self._lots = lots
+        self._rng = rng
         self._restore_ms = restore_ms
         self._works = {}
-        self._saved = {}
+        self._saved_ms = {}
         self._gangs = {}
 
     def add(self, job_id, works):
@@ -37,19 +37,21 @@
         key = virtual_workers.task_key(order.task)
         work = self._works[key.job_id][key.step]
         work_ms = work.work_ms[key.index]
-        saved_ms = self._saved.get(self._saver(key), 0.0) if order.checkpoint else 0.0
+        saved_ms = (
+            self._saved_ms.get(self._save_key(key), 0.0) if order.checkpoint else 0.0
+        )
         if saved_ms:
             work_ms = work_ms - saved_ms + self._restore_ms
-        how = "failed" if self._lots.random() < work.fail_share else "done"
+        how = "failed" if self._rng.random() < work.fail_share else "done"
         if how == "failed" and work.step.long_running:
-            work_ms = self._lots.uniform(*LASTING_FAILS_MS)
+            work_ms = self._rng.uniform(*LONG_RUNNING_FAILURE_MS)
         return work_ms, how
 
     def step_of(self, key):
         """The step of a task."""
         return self._works[key.job_id][key.step].step
 
-    def began(self, machine, run):
+    def on_run_started(self, machine, run):
         """A run began on a worker: it will end by itself once its work is done.
 
         A gang's members work once all of them are there.
@@ -63,9 +65,9 @@
         members[key.index] = (machine, run)
         run.began_ms = math.inf
         if len(members) == step.tasks:
-            self._gang_begins(list(members.values()))
+            self._start_gang(list(members.values()))
 
-    def _gang_begins(self, members):
+    def _start_gang(self, members):
         """All members are there: they are done together, or one fails on the way."""
         for _machine, run in members:
             run.began_ms = self._loop.now_ms
@@ -88,9 +90,9 @@
             return ""
         all_ms = self._works[key.job_id][key.step].work_ms[key.index]
         left_ms = run.work_ms - run.done_ms(now_ms)
-        self._saved[self._saver(key)] = max(0.0, all_ms - left_ms)
+        self._saved_ms[self._save_key(key)] = max(0.0, all_ms - left_ms)
         return "saved"
 
-    def _saver(self, key):
+    def _save_key(self, key):
         """Under what a task's progress is saved: a gang saves as one."""
         return key[:3] if self.step_of(key).gang else key
--- a/tools/virtual_watch.py
+++ b/tools/virtual_watch.py
@@ -13,29 +13,29 @@
 # What could start has to start within this: two questions of the slowest rule.
 START_WITHIN_MS = 3000
 # A lasting task has to run again within this.
-LAST_WITHIN_MS = 6000
+RESTART_WITHIN_MS = 6000
 # After a worker came or left. One that falls silent holds its tasks for its lease.
 CALM_MS = 4000
 SILENT_LEASE_MS = 5500
 # There is room only if what waits fits this many times over, in a cell that is at most
 # so full.
-ROOM_TIMES = 2
-FULL_SHARE = 0.5
+CAPACITY_FACTOR = 2
+MAX_USED_SHARE = 0.5
 # Nothing but lasting tasks runs for so long, a save and a restore included.
-LONGEST_WORK_MS = 10_000
+MAX_RUN_MS = 10_000
 
 
-class Standing(typing.NamedTuple):
+class Stall(typing.NamedTuple):
     """A step, or a lasting task, that could run and didn't."""
 
     task: str
     at_ms: int
     waiting: int
-    room: int
+    free_places: int
     """How many of its tasks the workers that may run it had room for."""
     workers: int
     """How many workers that is."""
-    full_share: float
+    used_share: float
 
 
 class Watch:
@@ -50,7 +50,7 @@
         self._since = {}
         self._reported = set()
 
-    def disturbed(self, until_ms):
+    def on_disturbance(self, until_ms):
         """The workers changed, or one's tasks are held until this moment."""
         self.calm_from_ms = max(self.calm_from_ms, until_ms + CALM_MS)
 
@@ -60,41 +60,41 @@
             return
         now_ms = self.day.loop.now_ms
         up = [machine for machine in self.day.machines() if machine.is_up()]
-        full_share = self._full_share(up)
-        is_calm = now_ms >= self.calm_from_ms and full_share < FULL_SHARE
+        used_share = self._used_share(up)
+        is_calm = now_ms >= self.calm_from_ms and used_share < MAX_USED_SHARE
         running = self._running()
         for group, step in self.day.open_steps():
             waiting = self.day.undone(group) - running.get(group, set())
-            fits = {}
+            free_places = {}
             if is_calm and waiting:
-                fits = self._fits(up, group, step)
-            needed = ROOM_TIMES * (step.tasks if step.gang else len(waiting))
-            could_run = bool(waiting) and sum(fits.values()) >= needed
-            for key, moment_ms in self._keys(group, step, waiting):
+                free_places = self._free_places(up, group, step)
+            needed = CAPACITY_FACTOR * (step.tasks if step.gang else len(waiting))
+            could_run = bool(waiting) and sum(free_places.values()) >= needed
+            for key, time_ms in self._keys(group, step, waiting):
                 since_ms = self._since.get(key)
                 if not could_run or since_ms is None:
                     since_ms = now_ms
-                since_ms = max(since_ms, moment_ms, self.excused_ms.get(group, 0))
+                since_ms = max(since_ms, time_ms, self.excused_ms.get(group, 0))
                 self._since[key] = since_ms
-                within_ms = LAST_WITHIN_MS if step.long_running else START_WITHIN_MS
+                within_ms = RESTART_WITHIN_MS if step.long_running else START_WITHIN_MS
                 if could_run and now_ms - since_ms >= within_ms:
-                    self._report(key, len(waiting), fits, full_share)
+                    self._report(key, len(waiting), free_places, used_share)
 
     def check_end(self):
         """At the end everything has to be over that could be."""
         running = self._running()
         up = [machine for machine in self.day.machines() if machine.is_up()]
-        full_share = self._full_share(up)
+        used_share = self._used_share(up)
         for group, step in self.day.open_steps():
             if step.long_running:
                 continue
-            fits = self._fits(up, group, step)
+            free_places = self._free_places(up, group, step)
             waiting = self.day.undone(group) - running.get(group, set())
-            needed = ROOM_TIMES * (step.tasks if step.gang else len(waiting))
-            is_fitting = bool(waiting) and sum(fits.values()) >= needed
-            still_ms = self.day.loop.now_ms - self.started_ms.get(group, 0)
-            if is_fitting or (running.get(group) and still_ms >= LONGEST_WORK_MS):
-                self._report(group, len(waiting), fits, full_share)
+            needed = CAPACITY_FACTOR * (step.tasks if step.gang else len(waiting))
+            has_capacity = bool(waiting) and sum(free_places.values()) >= needed
+            since_start_ms = self.day.loop.now_ms - self.started_ms.get(group, 0)
+            if has_capacity or (running.get(group) and since_start_ms >= MAX_RUN_MS):
+                self._report(group, len(waiting), free_places, used_share)
 
     def _keys(self, group, step, waiting):
         """What is watched of a step, and since when at the earliest."""
@@ -106,16 +106,21 @@
             if index not in waiting
         ]
 
-    def _report(self, key, waiting, fits, full_share):
+    def _report(self, key, waiting, free_places, used_share):
         if key in self._reported:
             return
         self._reported.add(key)
         now_ms = int(self.day.loop.now_ms)
         task = ".".join(str(part) for part in key)
-        workers = sum(fit > 0 for fit in fits.values())
+        workers = sum(fit > 0 for fit in free_places.values())
         self.stalls.append(
-            Standing(
-                task, now_ms, waiting, sum(fits.values()), workers, round(full_share, 2)
+            Stall(
+                task,
+                now_ms,
+                waiting,
+                sum(free_places.values()),
+                workers,
+                round(used_share, 2),
             )
         )
 
@@ -129,7 +134,7 @@
                 running.setdefault(group, set()).add(key.index)
         return running
 
-    def _full_share(self, up):
+    def _used_share(self, up):
         cpu = sum(machine.record.capacity.cpu_millis for machine in up)
         memory = sum(machine.record.capacity.memory_mb for machine in up)
         used = [self._used(machine) for machine in up]
@@ -146,9 +151,9 @@
             memory += step.demand.memory_mb
         return cpu, memory
 
-    def _fits(self, up, group, step):
+    def _free_places(self, up, group, step):
         """How many more tasks of a step fit on each worker that may run it."""
-        fits = {}
+        free_places = {}
         for machine in up:
             record = machine.record
             if step.required_label and step.required_label not in record.labels:
@@ -166,5 +171,5 @@
                     for run in machine.runs.values()
                 )
                 here = min(here, step.max_per_target - of_step)
-            fits[record.target_id] = max(0, here)
-        return fits
+            free_places[record.target_id] = max(0, here)
+        return free_places
--- a/tools/virtual_workers.py
+++ b/tools/virtual_workers.py
@@ -8,9 +8,9 @@
 
 # A worker kills what it is told to stop, or saves it first, within this.
 STOP_MS = 60.0
-LEASE_MAX_MS = 6000
+MAX_LEASE_MS = 6000
 # A call that gets no answer fails after this, a poll's wait added.
-CALL_LIMIT_MS = 500.0
+CALL_TIMEOUT_MS = 500.0
 
 
 def task_key(task):
@@ -42,24 +42,24 @@
         self.runs = {}
         self.ends = []
         self.next_end = 1
-        self.closed = {}
-        self.held = None
-        self.is_gone = False
+        self.highest_closed_run = {}
+        self.pending_poll = None
+        self.has_ended = False
         self.is_cut_off = False
         self.is_refusing = False
         self.epoch = 0
         self.lease_until_ms = 0
-        self._is_watched = False
+        self._has_lease_timer = False
 
     def leave(self):
         """End with all that runs here; another life answers at this address now."""
-        self.is_gone = True
+        self.has_ended = True
         runs, self.runs = list(self.runs.values()), {}
         for run in runs:
             run.is_over = True
-            self.world.ended(self, run, "gone")
-        if self.held is not None:
-            self._release(self.held)
+            self.world.on_run_ended(self, run, "gone")
+        if self.pending_poll is not None:
+            self._answer_poll(self.pending_poll)
 
     def crash(self):
         """End with all that runs here; nobody answers any more."""
@@ -71,7 +71,7 @@
         self.is_refusing = True
         self.crash()
 
-    def come_back_as_another(self):
+    def accept_new_incarnation(self):
         """Another life answers at this address from now on."""
         self.is_refusing = self.is_cut_off = False
 
@@ -79,18 +79,18 @@
         """Hear and answer nothing from now on; what runs here ends with its lease."""
         self.is_cut_off = True
 
-    def come_back(self):
+    def reconnect(self):
         """Hear and answer again, unless it has ended."""
-        self.is_cut_off = self.is_gone and self.is_cut_off
+        self.is_cut_off = self.has_ended and self.is_cut_off
 
     def is_up(self):
         """Whether it may get work: reached, and neither gone nor draining."""
-        is_here = not self.is_gone and not self.is_cut_off
+        is_here = not self.has_ended and not self.is_cut_off
         return is_here and self.record.state == "ready"
 
     def carry_out(self, order):
         """Carry an order out; returns the ``orders.OrderResult``."""
-        if self.is_gone:
+        if self.has_ended:
             return orders.OrderResult(orders.OTHER_INCARNATION)
         if order.epoch < self.epoch:
             return orders.OrderResult(orders.FENCED, self._clock_ms())
@@ -111,11 +111,11 @@
         self.ends = [end for end in self.ends if end.number > poll.cursor]
         if poll.lease_until_ms is not None:
             self._extend(poll.lease_until_ms)
-        if self.is_gone or self.ends or not poll.wait_ms:
-            answer(self._lists())
+        if self.has_ended or self.ends or not poll.wait_ms:
+            answer(self._poll_result())
             return
-        held = self.held = answer
-        self.world.loop.after(poll.wait_ms, lambda: self._release(held))
+        pending_poll = self.pending_poll = answer
+        self.world.loop.after(poll.wait_ms, lambda: self._answer_poll(pending_poll))
 
     def end(self, run, how):
         """A run here ends, unless it has."""
@@ -126,26 +126,26 @@
         del self.runs[(run.order.task, run.order.run)]
         self._close(run.order)
         saved = self.world.save(run, how, now_ms)
-        self.world.ended(self, run, how)
+        self.world.on_run_ended(self, run, how)
         self.ends.append(
             orders.ListedEnd(self.next_end, run.order.task, run.order.run, how, saved)
         )
         self.next_end += 1
-        if self.held is not None:
-            self._release(self.held)
+        if self.pending_poll is not None:
+            self._answer_poll(self.pending_poll)
 
     def _start(self, order):
         key = (order.task, order.run)
         if key in self.runs:
             return orders.OK
-        if order.run <= self.closed.get(order.task, 0):
+        if order.run <= self.highest_closed_run.get(order.task, 0):
             return orders.STALE_RUN
         if order.lease_until_ms <= self._clock_ms():
             return orders.LEASE_EXPIRED
         self._extend(order.lease_until_ms)
         left_ms, how = self.world.work_of(order)
         run = self.runs[key] = _Running(order, left_ms, how, self.world.loop.now_ms)
-        self.world.began(self, run)
+        self.world.on_run_started(self, run)
         return orders.OK
 
     def _stop(self, order):
@@ -155,30 +155,32 @@
             self.world.loop.after(STOP_MS, lambda: self.end(run, "stopped"))
 
     def _close(self, order):
-        self.closed[order.task] = max(self.closed.get(order.task, 0), order.run)
+        self.highest_closed_run[order.task] = max(
+            self.highest_closed_run.get(order.task, 0), order.run
+        )
 
     def _extend(self, until_ms):
-        until_ms = min(until_ms, self._clock_ms() + LEASE_MAX_MS)
+        until_ms = min(until_ms, self._clock_ms() + MAX_LEASE_MS)
         self.lease_until_ms = max(self.lease_until_ms, until_ms)
-        if not self._is_watched:
-            self._is_watched = True
-            self.world.loop.at(self.lease_until_ms, self._watch_lease)
+        if not self._has_lease_timer:
+            self._has_lease_timer = True
+            self.world.loop.at(self.lease_until_ms, self._check_lease)
 
-    def _watch_lease(self):
-        self._is_watched = False
+    def _check_lease(self):
+        self._has_lease_timer = False
         if self._clock_ms() < self.lease_until_ms:
             self._extend(0)
             return
         for run in list(self.runs.values()):
             self.end(run, "lapsed")
 
-    def _release(self, held):
-        if self.held is held:
-            self.held = None
-            held(self._lists())
+    def _answer_poll(self, pending_poll):
+        if self.pending_poll is pending_poll:
+            self.pending_poll = None
+            pending_poll(self._poll_result())
 
-    def _lists(self):
-        if self.is_gone:
+    def _poll_result(self):
+        if self.has_ended:
             return orders.PollResult(orders.OTHER_INCARNATION)
         now_ms = self.world.loop.now_ms
         listed = [
@@ -219,21 +221,21 @@
             self._fail(target_link.OrderAnswered, order, 0)
             return
         result = self._machine.carry_out(order)
-        self._tell(target_link.OrderAnswered, order, result)
+        self._respond(target_link.OrderAnswered, order, result)
 
     def _poll(self, poll):
         if self._machine.is_cut_off:
             self._fail(target_link.PollAnswered, poll, poll.wait_ms)
             return
         self._machine.poll(
-            poll, lambda result: self._tell(target_link.PollAnswered, poll, result)
+            poll, lambda result: self._respond(target_link.PollAnswered, poll, result)
         )
 
-    def _tell(self, kind, order, result):
+    def _respond(self, kind, order, result):
         if self._machine.is_cut_off:
             self._fail(kind, order, 0)
             return
-        self._mail(kind, order, result)
+        self._deliver(kind, order, result)
 
     def _fail(self, kind, order, wait_ms):
         """No answer arrives, which is known once the call has waited for it."""
@@ -241,9 +243,9 @@
         is_refused = self._machine.is_refusing
         outcome = orders.CONNECTION_REFUSED if is_refused else orders.UNKNOWN
         result = (orders.PollResult if is_poll else orders.OrderResult)(outcome)
-        after_ms = 0 if is_refused else CALL_LIMIT_MS + wait_ms
-        self._world.loop.after(after_ms, lambda: self._mail(kind, order, result))
+        after_ms = 0 if is_refused else CALL_TIMEOUT_MS + wait_ms
+        self._world.loop.after(after_ms, lambda: self._deliver(kind, order, result))
 
-    def _mail(self, kind, order, result):
+    def _deliver(self, kind, order, result):
         name = self._machine.record.target_id
-        self._world.mail(kind(self._epoch, name, order, result))
+        self._world.deliver(kind(self._epoch, name, order, result))
