--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,7 +1,7 @@
-"""Run the benches, all or the named ones: ``python tools/bench.py [name ...]``.
+"""Run all benches, or the named ones: ``python tools/bench.py [name ...]``.
 
-Each module of tools/benches has ``main()``, which prints its figures, one per line,
-with the command that gave them; docs/measurements has the figures that were recorded.
+Each module of tools/benches has a ``main()`` that prints its figures, one per line,
+with the command that produced them; docs/measurements has the recorded figures.
 """
 
 import importlib
--- a/tools/cell.py
+++ b/tools/cell.py
@@ -1,8 +1,8 @@
-"""Start one deployment of real processes on loopback addresses, for demo, tests, bench.
+"""Start a deployment of real processes on loopback addresses, for demo, tests, benches.
 
 Each VM is one address 127.<octet>.<domain>.<number>. An entry VM runs an entry and a
-placer; the first ones run a keeper as well, five over four domains. The octet is
-claimed by holding a port, so that several cells can run on one machine side by side.
+placer; the first ones also run a keeper, five over four domains. The octet is claimed
+by binding a port, so that several cells can run on one machine.
 
 >>> with cell.Cell(folder) as running:  # doctest: +SKIP
 ...     running.start()
@@ -64,7 +64,7 @@
 
 
 def claim_octet(stack):
-    """Hold a free 127.<octet>.0.0/16 until the stack closes."""
+    """Claim a free network 127.<octet>.0.0/16 until the stack closes."""
     for octet in range(10, 250):
         holder = socket.socket()
         try:
@@ -78,7 +78,7 @@
 
 
 def keeper_hosts(domains, voters):
-    """Which VMs run a keeper: one per domain in turn, as (domain, number)."""
+    """The VMs that run a keeper, round-robin over domains, as (domain, number)."""
     return [
         (place % len(domains), place // len(domains) + 1) for place in range(voters)
     ]
@@ -109,7 +109,7 @@
 
 
 def settings_text(plan, plans, folder, overrides, address_of):
-    """The settings file of one process; ``overrides`` maps table to key to number."""
+    """The settings file of a process; ``overrides`` maps table to key to number."""
     lines = ["[process]", 'cell = "cell"', f'name = "{plan.name}"']
     lines += [f'vm = "{plan.host}"', f'failure_domain = "{plan.failure_domain}"']
     lines += [f'data_folder = "{folder / "data" / plan.name}"', "", "[listen]"]
@@ -130,7 +130,7 @@
 
 
 class Cell:
-    """Processes of one deployment; closing it ends all that it started.
+    """The processes of one deployment; leaving the context stops all of them.
 
     ``address_of(plan, peer)`` gives the address under which a process reaches a peer;
     tests that cut links put a relay's address there.
@@ -171,7 +171,7 @@
         return next(plan for plan in self.plans if plan.name == name)
 
     def of_role(self, role, failure_domain=None):
-        """Plans of a role, of one domain or of all."""
+        """The plans of a role, in one failure domain or in all."""
         return [
             plan
             for plan in self.plans
@@ -186,7 +186,7 @@
                 self.run(plan.name, [sys.executable, "-m", module, str(plan.settings)])
 
     def run(self, name, command):
-        """Start any command as a process of the cell; its output goes to a log file."""
+        """Start a command as a process of the cell; its output goes to a log file."""
         log = (self.folder / f"{name}.log").open("ab")
         self.processes[name] = subprocess.Popen(
             command,
@@ -201,7 +201,7 @@
         return (self.folder / f"{name}.log").read_text(errors="replace")
 
     def wait_ready(self, names=None):
-        """Wait until /readyz of all started daemons, or the named ones, says 200."""
+        """Wait until /readyz of all started daemons, or the named ones, returns 200."""
         plans = [plan for plan in self.plans if plan.name in (names or self.processes)]
         for plan in plans:
             wait_until(lambda plan=plan: self._ready(plan), f"{plan.name} ready")
@@ -217,7 +217,7 @@
             return False
 
     def kill(self, name):
-        """kill -9 a process and reap it."""
+        """Kill a process with SIGKILL and reap it."""
         self.processes[name].kill()
         self.processes[name].wait()
 
@@ -228,7 +228,7 @@
         self.processes[name].send_signal(signal.SIGCONT)
 
     def stop(self):
-        """SIGTERM all that still run, targets last; SIGKILL what does not end."""
+        """Terminate all processes in start order; kill those that don't exit."""
         running = [p for p in self.processes.values() if p.poll() is None]
         for process in running:
             process.send_signal(signal.SIGCONT)
@@ -243,7 +243,7 @@
 
 
 def wait_until(condition, what, timeout_s=READY_WAIT_S, interval_s=0.02):
-    """Wait on a condition; returns its true value or fails naming ``what``."""
+    """Wait until a condition is true; returns its value, or raises naming ``what``."""
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         value = condition()
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,8 +1,8 @@
-"""Start a whole deployment on loopback addresses, use it as its users would, stop it.
+"""Start a complete deployment on loopback addresses, use it as users do, and stop it.
 
-Four failure domains with two entry VMs each, five keepers, 24 stand-in workers and 24
-stand-in runners. Every step checks its outcome; the first wrong one ends the demo with
-a non-zero code. Whatever was started is stopped, also when the demo is interrupted.
+It has four failure domains with two entry VMs each, five keepers, 24 stand-in workers
+and 24 stand-in runners. Every step checks its outcome; the first failure ends the demo
+with a non-zero exit code. All processes are stopped, also if the demo is interrupted.
 """
 
 import contextlib
@@ -37,7 +37,7 @@
 
 
 class DemoFailure(Exception):
-    """A step of the demo went wrong."""
+    """A step of the demo failed."""
 
 
 def check(condition, what):
@@ -50,7 +50,7 @@
 
 
 def client(cell, *arguments, show=False, code=0):
-    """Run the operators' command line against the cell; returns its output."""
+    """Run the operators' command line tool against the cell; returns its output."""
     entries = [plan.operators for plan in cell.of_role("entry")]
     command = [sys.executable, "-m", "alderreach.scripts.client", *arguments]
     for entry in entries[:2]:
@@ -64,7 +64,7 @@
 
 
 def call(http, address, body, **headers):
-    """One caller's request to the service; returns the response."""
+    """Send one request to the service; returns the response."""
     headers = {"Alderreach-Team": TEAM, "Alderreach-Deadline-Ms": "5000"} | headers
     return http.request(
         "POST", f"http://{address}{SERVICE_URL}", body=body, headers=headers
@@ -72,7 +72,7 @@
 
 
 def start_targets(cell):
-    """One process of stand-ins for each domain; returns their histories."""
+    """Start one process of stand-ins per domain; returns their histories' paths."""
     paths = []
     for domain in cells.DOMAINS:
         specs = targets.make_specs(
@@ -90,18 +90,18 @@
 
 
 def serve_requests(cell, http):
-    """Requests through every entry: each gets the answer to its own."""
+    """Send requests through every entry; each has to get its own answer."""
     entries = [plan.callers for plan in cell.of_role("entry")]
     for number in range(REQUESTS):
         body = json.dumps({"route": number}).encode()
         answer = call(http, entries[number % len(entries)], body)
         check(answer.status == 200, f"request {number}: {answer.status} {answer.data}")
-        check(json.loads(answer.data)["echo"].encode() == body, "an answer was crossed")
+        check(json.loads(answer.data)["echo"].encode() == body, "answer does not match")
     print(f"{REQUESTS} requests over {len(entries)} entries, each with its own answer")
 
 
 def dispatch_once(cell, http, paths):
-    """A non-idempotent request sent three times over two entries runs once."""
+    """Send a non-idempotent request three times over two entries; it runs once."""
     key = uuid.uuid4().hex
     body = json.dumps({"dispatch": key}).encode()
     headers = {"Alderreach-Non-Idempotent": "true", "Idempotency-Key": key}
@@ -141,7 +141,7 @@
 
 
 def pass_maintenance(cell, http):
-    """A rack is stopped at its date while requests go on; none is cut."""
+    """Stop a rack in its maintenance window under load; no request is lost."""
     rack = f"{RACK_DOMAIN}-rack-1"
     entries = [plan.callers for plan in cell.of_role("entry")]
     stop, failures, served = threading.Event(), [], [0]
@@ -177,17 +177,17 @@
         stop.set()
         for thread in threads:
             thread.join()
-    check(not failures, f"{len(failures)} requests were cut, first {failures[:1]}")
-    print(f"{rack} stopped; {served[0]} requests meanwhile, none cut")
+    check(not failures, f"{len(failures)} requests failed, first {failures[:1]}")
+    print(f"{rack} stopped; {served[0]} requests meanwhile, none failed")
 
 
 def iso_time(unix_s):
-    """A wall time as the command line takes it."""
+    """A wall time in the format of the command line."""
     return datetime.datetime.fromtimestamp(unix_s, datetime.UTC).isoformat()
 
 
 def rack_is_ready(cell, rack):
-    """Whether the system says of each worker of the rack that it may be stopped."""
+    """Whether each worker of the rack is shown as ready to be stopped."""
     rows = json.loads(client(cell, "target", "list", "--json"))["targets"]
     workers = [row for row in rows if row["rack"] == rack and row["kind"] == "worker"]
     return bool(workers) and all(": ready" in row["note"] for row in workers)
@@ -210,7 +210,7 @@
     say("a batch run and a gang job")
     run_job(cell, http, "closure-plan", 20, {"run_ms": 200})
     run_job(cell, http, "inspection-rota", 4, {"run_ms": 300})
-    say("landlord maintenance of a rack")
+    say("maintenance of a rack")
     pass_maintenance(cell, http)
     say("status")
     client(cell, "status", show=True)
@@ -219,7 +219,7 @@
     events = history.read(paths)
     check(
         not [e for e in events if e["event"] == "capacity_exceeded"],
-        "a VM was overfull",
+        "the tasks of a VM exceeded its capacity",
     )
 
 
@@ -247,7 +247,7 @@
     codes = {name: process.returncode for name, process in cell.processes.items()}
     wrong = {name: code for name, code in codes.items() if code != 0}
     if wrong:
-        print(f"demo failed: these did not stop in order: {wrong}", file=sys.stderr)
+        print(f"demo failed: processes did not exit cleanly: {wrong}", file=sys.stderr)
         return 1
     print(f"\ndemo passed in {time.monotonic() - started:.0f} s; all processes stopped")
     return 0
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -1,8 +1,8 @@
 """Write alderreach/core/generated/ from the files in schema/.
 
-``--check`` writes nothing and fails if a committed file differs from what the schema
-gives. The output is passed through the formatter in both cases, so that generated
-code is subject to the same checks as the rest.
+``--check`` writes nothing and fails if a file differs from the output for the schema.
+The output is passed through the formatter in both cases, so that generated code is
+subject to the same checks as the rest.
 """
 
 import pathlib
@@ -55,7 +55,7 @@
 
 
 def ordered(schema):
-    """Names in an order in which each message follows those that its fields use."""
+    """Message names, each after the messages that its fields refer to."""
     names, placed = message_names(schema), []
     while names:
         ready = [
--- a/tools/paired.py
+++ b/tools/paired.py
@@ -1,14 +1,14 @@
-"""Differences between two ways to decide, paired by the day that both have played.
+"""Paired differences between two revisions that have played the same days.
 
-Days differ among each other far more than two revisions do on one day. So a change is
-judged by the differences on the same days and seeds, with an interval in which their
-mean lies in 19 of 20 such experiments, and not by two means.
+Results vary much more between days than between two revisions on the same day. So a
+change is judged by the differences on the same days and seeds, with a 95 % confidence
+interval of their mean, and not by comparing two means.
 
     python -m tools.paired --before journal/A.json --after journal/B.json journal/C.json
 
-pairs the days of some journal entries by site, name and seed. The interval is found by
-resampling the differences, so it rests on no shape of theirs. It is too narrow for a
-handful of pairs: take a dozen at the least.
+pairs the days of the given journal entries by site, name and seed. The interval is a
+bootstrap interval, so it assumes no distribution of the differences. It is too narrow
+for a handful of pairs: use at least a dozen.
 """
 
 import argparse
@@ -20,12 +20,12 @@
 import typing
 
 RESAMPLES = 4000
-# The share of resampled means that lies outside of the interval, on either side.
+# The share of resampled means outside the interval, on each side.
 TAIL_SHARE = 0.025
 
 
 class Difference(typing.NamedTuple):
-    """The mean difference of pairs, and the interval in which it lies."""
+    """The mean difference of pairs, with its confidence interval."""
 
     pairs: int
     mean: float
@@ -37,7 +37,7 @@
 
 
 def difference(before, after):
-    """The Difference of two equally long lists of figures, pair by pair.
+    """The ``Difference`` of two lists of figures, paired by position.
 
     >>> print(difference([1.0, 2.0, 3.0], [1.5, 2.5, 3.5]))
     +0.5000 [+0.5000, +0.5000] n=3
@@ -58,7 +58,7 @@
 
 
 def days_of(paths):
-    """The worth of each day in some journal entries: lists of plays by (site, day)."""
+    """Read journal entries; returns lists of results by (site, day name, seed)."""
     found = collections.defaultdict(list)
     for path in paths:
         entry = json.loads(pathlib.Path(path).read_text())
@@ -68,7 +68,7 @@
 
 
 def main():
-    """Print each pair of days, and the Difference by site."""
+    """Print each pair of days, and the ``Difference`` per site."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--before", nargs="+", required=True)
     parser.add_argument("--after", nargs="+", required=True)
--- a/tools/probe.py
+++ b/tools/probe.py
@@ -1,4 +1,4 @@
-"""A small team with one service and one batch run, for tests and benches of a cell."""
+"""A small team with one service and one batch workload, for tests and benches."""
 
 TEAM = "probe-team"
 SERVICE = "probe"
@@ -34,5 +34,5 @@
 
 
 def questionnaire(tasks):
-    """The team's questionnaire, its service with this many runners."""
+    """The team's questionnaire, with ``tasks`` runners for its service."""
     return QUESTIONNAIRE.format(tasks=tasks)
--- a/tools/relay.py
+++ b/tools/relay.py
@@ -1,11 +1,11 @@
-"""A relay between processes that misbehaves as networks do, for tests of failures.
-
-- *Cut:* a link keeps its connections open and passes nothing on, in one direction or
-  both, as a network does that drops packets: the sender's kernel holds what it could
-  not deliver, and it arrives late once the link heals. New connections over a cut link
-  are accepted by the kernel and stay silent as well.
-- *Slow:* whatever passes is held up for a while.
-- *Reset:* all connections of a link end at once.
+"""A TCP relay between processes that injects network faults, for failure tests.
+
+- *Cut:* a link keeps its connections open and forwards nothing, in one direction or
+  both, like a network that drops packets: the sender's kernel buffers the data, which
+  arrives late once the link heals. New connections over a cut link are accepted by the
+  kernel and stay silent as well.
+- *Slow:* all data are delayed.
+- *Reset:* all connections of a link are aborted.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class _Link:
-    """One listening address: which directions pass, how slowly, its connections."""
+    """One listening address: its open directions, its delay and its connections."""
 
     def __init__(self):
         self.passing = {OUT: asyncio.Event(), IN: asyncio.Event()}
@@ -50,11 +50,11 @@
         return list(self._links)
 
     def cut(self, names, directions=BOTH):
-        """Let nothing pass on the named links until they are healed."""
+        """Stop forwarding on the named links until they are healed."""
         self._change(names, lambda link: _set(link, directions, False))
 
     def heal(self, names):
-        """Let the named links pass everything at once, what they held first."""
+        """Forward without delay on the named links again, buffered data first."""
 
         def mend(link):
             link.delay_s = 0.0
@@ -63,11 +63,11 @@
         self._change(names, mend)
 
     def slow(self, names, delay_ms):
-        """Hold up whatever passes on the named links."""
+        """Delay all data on the named links."""
         self._change(names, lambda link: setattr(link, "delay_s", delay_ms / 1000))
 
     def reset(self, names):
-        """End all connections of the named links at once."""
+        """Abort all connections of the named links."""
 
         def abort(link):
             for writer in list(link.writers):
--- a/tools/seeded_cell.py
+++ b/tools/seeded_cell.py
@@ -1,4 +1,4 @@
-"""A cell of real controllers and frontends that find each other by seeds.
+"""Runs a cell of real controllers and frontends that find each other through seeds.
 
 >>> with seeded_cell.SeededCell(folder) as running:  # doctest: +SKIP
 ...     running.start()
@@ -21,7 +21,7 @@
 
 
 class Plan(cell.Plan):
-    """One process; every controller and frontend has a host of its own."""
+    """One process; each controller and frontend has its own host address."""
 
     @property
     def callers(self):
@@ -45,7 +45,7 @@
 
 
 class SeededCell(cell.Cell):
-    """Controllers ``controller-1``... of which the first three are seeds, frontends."""
+    """Controllers ``controller-1``..., the first three of them seeds, and frontends."""
 
     def __init__(self, folder, controllers=3, frontends=1):
         self.folder = pathlib.Path(folder)
@@ -62,7 +62,7 @@
             self.write_settings(plan)
 
     def write_settings(self, plan, found="yes"):
-        """Write a process's settings; ``found`` as in discovery.found."""
+        """Write the settings of a process; ``found`` is the key ``discovery.found``."""
         plan.settings.write_text(self._text(plan, found))
 
     def _plan(self, role, number):
--- a/tools/virtual_cell.py
+++ b/tools/virtual_cell.py
@@ -1,8 +1,8 @@
-"""A leader's decisions under load in virtual time: no network, no log, no threads.
+"""Simulates a leader under load in virtual time, without network, log or threads.
 
-The leader's own code (``ops/controller``) decides; workers, the permission service and
-the commit of its log are modelled by delays. Tests and benches hand jobs in, let the
-time pass, and look at how long each job took against its objective.
+The decisions are made by the leader's own code (``ops/controller``); workers, the
+permission service and commits to the log are modelled by delays. Tests and benches
+submit jobs, advance the time, and compare each job's duration with its objective.
 
 >>> made = VirtualCell([virtual_parts.queue("q")], [virtual_parts.worker(1, 4000)])
 >>> work = virtual_parts.Work(virtual_parts.step(2, 1000), [300, 400])
@@ -38,18 +38,19 @@
     virtual_workers,
 )
 
-# One way to a worker, and a batch's way through the log: a sync and a round of voters.
+# One-way delay to a worker, and the time to commit a batch: one disk sync and one round
+# trip to the voters.
 HOP_MS = 1.0
 COMMIT_MS = 8.0
 TICK_MS = 20
 LATE_AFTER_OBJECTIVES = 3
-# A submission without an answer is handed in again.
+# A submission without an answer is sent again after this time.
 CALLER_RETRY_MS = 1000
-# What becomes of a job.
+# Outcomes of a job.
 ON_TIME = "on_time"
 LATE = "late"
 NEVER = "never"
-# How the permission service answers.
+# Kinds of answers of the permission service.
 DECIDED = "decided"
 UNDECIDED = "undecided"
 SILENT = "silent"
@@ -58,12 +59,12 @@
 class VirtualCell:
     """One leader at a time, its workers and the permission service.
 
-    ``helpers`` is how many processes put questions to the service, which lets the steps
-    of a queue run on its share, by ``good_shares``, of the workers. ``cpu_s`` is the
-    processor time that the leader's own code took, ``cpu_by_second`` the same for each
-    second of virtual time, and ``waits`` holds the fields of each report on a step that
-    waits for long. ``silent_helpers`` take questions and
-    never answer; ``cut_helpers`` answer at once that the service can't be reached.
+    ``helpers`` is the number of processes that query the permission service, which lets
+    the steps of a queue run on that queue's share of the workers (``good_shares``).
+    ``cpu_s`` is the processor time used by the leader's own code, ``cpu_by_second`` the
+    same per second of virtual time, and ``waits`` holds the fields of each report on a
+    step that has waited for a long time. ``silent_helpers`` accept queries and never
+    answer; ``cut_helpers`` answer at once that the service can't be reached.
     """
 
     def __init__(
@@ -103,7 +104,7 @@
         self._send_heartbeats()
 
     def submit(self, queue_name, job_id, works):
-        """Hand a job in now."""
+        """Submit a job now."""
         self._tasks.add(job_id, works)
         request = cell.SubmitJob(
             virtual_parts.HOST,
@@ -119,7 +120,7 @@
         self._submit_until_accepted(request)
 
     def submit_at(self, time_ms, queue_name, job_id, works):
-        """Hand a job in later."""
+        """Submit a job at a later time."""
         self.loop.at(time_ms, lambda: self.submit(queue_name, job_id, works))
 
     def _submit_until_accepted(self, request):
@@ -133,12 +134,12 @@
         self.loop.after(CALLER_RETRY_MS, retry)
 
     def run_until(self, end_ms):
-        """Let time pass."""
+        """Advance the virtual time."""
         self.loop.run_until(end_ms)
         self._record_completions()
 
     def outcomes(self):
-        """An Outcome for each queue."""
+        """The ``virtual_parts.Outcome`` of each queue."""
         self._record_completions()
         counts = collections.defaultdict(collections.Counter)
         for job_id, (queue_name, _due_ms, _objective_ms) in self._submissions.items():
@@ -151,7 +152,7 @@
         }
 
     def outcome_of(self, job_id):
-        """Whether a job was done ON_TIME, LATE or NEVER, so far."""
+        """Whether a job has been completed ON_TIME, LATE or NEVER so far."""
         _queue_name, submitted_ms, objective_ms = self._submissions[job_id]
         took_ms = self._completed_ms.get(job_id, math.inf) - submitted_ms
         if took_ms <= objective_ms:
@@ -159,50 +160,50 @@
         return LATE if took_ms <= LATE_AFTER_OBJECTIVES * objective_ms else NEVER
 
     def leave_at(self, time_ms, target_ids):
-        """Workers that end later, with all that runs there, and never come back."""
+        """Make workers leave at a given time, with all their runs, for good."""
         for target_id in target_ids:
             self.loop.at(time_ms, self._machines[target_id].leave)
 
     def crash_at(self, time_ms, target_ids):
-        """Workers that end later without a word; nobody answers in their place."""
+        """Make workers crash at a given time; calls to them time out."""
         for target_id in target_ids:
             self.loop.at(time_ms, self._machines[target_id].crash)
 
     def join_at(self, time_ms, records):
-        """Workers that are there from a later moment on."""
+        """Make workers join at a given time."""
         for record in records:
             self.loop.at(time_ms, lambda record=record: self._join(record))
 
     def cut_off_at(self, time_ms, target_ids, for_ms):
-        """Workers that neither hear nor answer for a while."""
+        """Cut workers off for ``for_ms``: they neither receive nor answer calls."""
         for target_id in target_ids:
             machine = self._machines[target_id]
             self.loop.at(time_ms, machine.cut_off)
             self.loop.at(time_ms + for_ms, machine.reconnect)
 
     def drain_at(self, time_ms, target_ids, for_ms):
-        """Workers that get nothing new from a moment on, and leave a while later."""
+        """Make workers drain from a given time on, and leave ``for_ms`` later."""
         for target_id in target_ids:
             self.loop.at(time_ms, lambda name=target_id: self._drain(name))
             self.loop.at(time_ms + for_ms, lambda name=target_id: self._withdraw(name))
 
     def lose_leader_at(self, time_ms, for_ms):
-        """The leader ends with all it has not committed; later another takes over."""
+        """End the leader and lose all it has not committed; start another later."""
         self.loop.at(time_ms, self._lose_leader)
         self.loop.at(time_ms + for_ms, self._start_term)
 
     def call(self, callback):
-        """Have something happen at a worker."""
+        """Call a function at a worker, after the network delay."""
         self.loop.after(HOP_MS, callback)
 
     def deliver(self, answer):
-        """A worker's answer, on its way to the leader."""
+        """Deliver the answer of a worker to the leader, after the network delay."""
         self.loop.after(
             HOP_MS, lambda: self._run_leader(lambda: self._handle_answer(answer))
         )
 
     def work_of(self, order):
-        """How long a run works, and how it ends."""
+        """How long a run takes, and how it ends."""
         return self._tasks.work_of(order)
 
     def step_of(self, key):
@@ -210,18 +211,18 @@
         return self._tasks.step_of(key)
 
     def on_run_started(self, machine, run):
-        """A run began on a worker."""
+        """A run has started on a worker."""
         self._tasks.on_run_started(machine, run)
 
     def on_run_ended(self, machine, run, how):
-        """A run ended on a worker, or went with it."""
+        """A run has ended on a worker, or together with it."""
 
     def save(self, run, how, now_ms):
-        """What a run that ends leaves: its checkpoint if its step saves."""
+        """Save the progress of a run that ends; returns its checkpoint, or ''."""
         return self._tasks.save(run, how, now_ms)
 
     def _start_term(self):
-        """A new term begins, with what is committed."""
+        """Start a new term of leadership from the committed state."""
         self._epoch += 1
         now_ms = lambda: int(self.loop.now_ms)
         settings = virtual_settings.parsed()
@@ -247,7 +248,7 @@
         self.term = None
 
     def _after_commit(self, callback):
-        """Have something happen after a commit, if that leader still leads."""
+        """Call a function after a commit, if the term has not ended by then."""
         term = self.term
 
         def if_leading():
@@ -277,7 +278,7 @@
             worker_polls.handle_poll_answer(self.term.leader, answer)
 
     def _run_leader(self, callback):
-        """Run some of the leader's code, plan, and have the decisions committed."""
+        """Run a function of the leader, then plan and commit the decisions."""
         if self.term is None:
             return
         began_s = time.process_time()
@@ -321,7 +322,7 @@
                 worker.announced_ms = int(self.loop.now_ms)
 
     def _announce(self, record):
-        """A heartbeat that tells something new."""
+        """Send a heartbeat that contains a change."""
         now_ms = int(self.loop.now_ms)
         self._request(cell.AnnounceTarget(record, now_ms, now_ms))
 
@@ -345,7 +346,7 @@
         self._run_leader(lambda: requests.handle(self.term, request, reply))
 
     def answer_kind(self, query):
-        """How the permission service answers: DECIDED, UNDECIDED or SILENT."""
+        """How the permission service answers a query: DECIDED, UNDECIDED or SILENT."""
         return DECIDED
 
     def _send_query(self, query):
--- a/tools/virtual_crashes.py
+++ b/tools/virtual_crashes.py
@@ -1,8 +1,8 @@
-"""Random days in the virtual cell on which some tasks crash all workers they start on.
+"""Simulates random days on which some tasks crash every worker that starts them.
 
-A crashed worker refuses connections and is back some seconds later under a new id, at
-the same address. Checked beside what ``virtual_days.py`` checks: how often such a task
-is started, and that no other job fails for it.
+A crashed worker refuses connections and is back some seconds later at the same address
+under a new id. In addition to the checks of ``virtual_days.py``, this checks how often
+such a task is started, and that no other job fails because of it.
 
 >>> day = CrashDay(seed=1)
 >>> day.play()
@@ -15,16 +15,16 @@
 from alderreach.core import cell_state
 from tools import virtual_days, virtual_watch, virtual_workers
 
-# A third crash is proof enough; two more starts may be under way until it is known.
+# A task is given up after its third crash; two more starts may be in flight until then.
 MAX_STARTS = 5
 JOBS_PER_CRASHING_TASK = 15
-# Squares of the milliseconds after which a run crashes its worker.
+# Range of the squared milliseconds after which a run crashes its worker.
 CRASH_MS_SQUARED = (1.0, 200.0)
 RESTART_AFTER_MS = (1_000, 12_000)
 
 
 class CrashDay(virtual_days.Day):
-    """One random day; every choice comes from the seed."""
+    """One random day, determined by its seed."""
 
     def __init__(self, seed):
         self.crashing_tasks = set()
@@ -33,7 +33,7 @@
         super().__init__(seed)
 
     def on_run_started(self, machine, run):
-        """A run began, which may take its worker down."""
+        """A run has started, and may crash its worker."""
         super().on_run_started(machine, run)
         key = virtual_workers.task_key(run.order.task)
         if key not in self.crashing_tasks or machine.has_ended:
@@ -43,7 +43,7 @@
         self.loop.after(crash_ms, lambda: self._crash(machine))
 
     def started_too_often(self):
-        """Tasks that crash workers and were started too often."""
+        """The tasks that were started more than MAX_STARTS times, with their counts."""
         return [
             (str(key), starts)
             for key, starts in self.crashing_starts.items()
@@ -73,7 +73,7 @@
         self.crashing_tasks.add(cell_state.TaskKey(f"j{self._number}", 0, step, index))
 
     def _may_have_failed(self, job):
-        """A job may also fail for a task of its own that crashes workers."""
+        """A job may also fail because one of its tasks crashes workers."""
         if any(key.job_id == job.record.job_id for key in self.crashing_tasks):
             return True
         return super()._may_have_failed(job)
--- a/tools/virtual_days.py
+++ b/tools/virtual_days.py
@@ -1,11 +1,11 @@
-"""Random days in the virtual cell, and a check that work which could run does run.
+"""Simulates random days, and checks that work which could run does run.
 
-The check (``virtual_watch.py``) looks at the model's machines, not at the leader's view
-of them: what runs where, what is free, which workers are reached, whom the permission
-service would let run a step. It takes from the leader only which tasks it counts as
-done, and at the end compares that with what the machines saw. A step is *standing* if,
-for long enough and with nothing that excuses it, its turn had come and there was room,
-yet nothing of it started.
+The check (``virtual_watch.py``) inspects the simulated machines, not the leader's view
+of them: what runs where, what is free, which workers are reachable, and which workers
+the permission service would let run a step. It takes from the leader only which tasks
+count as done, and compares them at the end with what happened on the machines. A step
+is *stalled* if for the whole of a time limit its dependencies were done, there was
+capacity for it and nothing excused its wait, and yet none of its tasks started.
 
 >>> day = Day(seed=3)
 >>> day.play()
@@ -37,10 +37,10 @@
 RESTART_AFTER_MS = 700
 LOAD_MS = 20_000
 END_MS = 60_000
-# As many processes as the largest site has.
+# The number of processes at the largest site.
 HELPERS = 47
 LONG_RUNNING_SHARE = 0.2
-# A wide step takes at most this share of all that may run it, when that is empty.
+# A wide step needs at most this share of the capacity of all workers that may run it.
 WIDE_SHARE = 0.45
 CORES = 1000
 MB_PER_CPU_MILLI = 2
@@ -49,7 +49,7 @@
 
 
 class Day(virtual_cell.VirtualCell):
-    """One random day; every choice comes from the seed."""
+    """One random day, determined by its seed."""
 
     def __init__(self, seed):
         self.choices = random.Random(seed)
@@ -73,12 +73,12 @@
         self._watch()
 
     def play(self):
-        """The whole day."""
+        """Simulate the whole day."""
         self.run_until(END_MS)
         self.watch.check_end()
 
     def machines(self):
-        """All workers that ever were, as virtual_workers.Machine."""
+        """All workers that have ever existed, as ``virtual_workers.Machine``."""
         return list(self._machines.values())
 
     def permits(self, group, target_id):
@@ -89,12 +89,12 @@
         return self._may_run(job, group, target_id)
 
     def false_states(self):
-        """Jobs or tasks that ended otherwise, by the leader, than the machines saw."""
+        """Jobs and tasks whose end in the leader's state differs from the machines."""
         false = []
         for job in self.term.leader.state.jobs.values():
             job_id = job.record.job_id
             if job.state == cell_state.FAILED and not self._may_have_failed(job):
-                false.append(f"{job_id} has not failed so often")
+                false.append(f"{job_id} failed before its attempts were used up")
             for (occurrence, number), tasks in job.groups.items():
                 group = cell_state.GroupKey(job_id, occurrence, number)
                 is_gang_done = job.record.steps[number].gang and self._done[group]
@@ -108,7 +108,7 @@
         return false
 
     def _may_have_failed(self, job):
-        """Whether the runs of some task, or of a gang, have failed often enough."""
+        """Whether a task or a gang of the job has used up its attempts."""
         max_attempts = job.record.queue.max_attempts
         job_id = job.record.job_id
         return any(
@@ -118,7 +118,7 @@
         )
 
     def open_steps(self):
-        """(group, step) of all whose turn has come, of jobs that go on."""
+        """Yield (group, step) of each unfinished step of an active job that may run."""
         for job in self.term.leader.state.jobs.values():
             if job.state != cell_state.ACTIVE:
                 continue
@@ -134,7 +134,7 @@
         return {n for n, task in enumerate(tasks) if task.state != cell_state.DONE}
 
     def answer_kind(self, query):
-        """Now and then no decision, or no answer, which excuses the step's wait."""
+        """Sometimes give no decision or no answer, which excuses the step's wait."""
         draw = self.rng.random()
         if draw >= self._undecided_share + self._silent_share:
             return virtual_cell.DECIDED
@@ -144,13 +144,13 @@
         return virtual_cell.SILENT if is_silent else virtual_cell.UNDECIDED
 
     def on_run_started(self, machine, run):
-        """A run began, so its step does not stand still."""
+        """A run has started, so its step makes progress."""
         key = virtual_workers.task_key(run.order.task)
         self.watch.started_ms[cell_state.GroupKey(*key[:3])] = self.loop.now_ms
         super().on_run_started(machine, run)
 
     def on_run_ended(self, machine, run, how):
-        """A run ended."""
+        """A run has ended."""
         key = virtual_workers.task_key(run.order.task)
         group = cell_state.GroupKey(*key[:3])
         if how == "done":
@@ -244,7 +244,7 @@
         return virtual_parts.Work(step, work_ms, rng.choice([0, 0, 0, 0.02, 0.1]))
 
     def _schedule_events(self, by_id):
-        """Workers leave, crash, drain, are cut off, added and reborn; leaders end."""
+        """Schedule the random events: changes of workers and losses of leaders."""
         rng, target_ids, number = self.choices, list(by_id), len(by_id)
         for _event in range(rng.randrange(0, 7)):
             time_ms = rng.uniform(EVENTS_FROM_MS, EVENTS_TO_MS)
@@ -284,7 +284,7 @@
 
 
 def _queues(rng):
-    """A queue without a rule, one with a quick rule, two with a slow one."""
+    """A queue without a permission rule, one with a fast rule, two with a slow one."""
 
     def rule(low_ms, high_ms, per_target_ms):
         return cell.PermissionRule(
--- a/tools/virtual_load.py
+++ b/tools/virtual_load.py
@@ -1,8 +1,9 @@
-"""Load on the entries' decisions in virtual time: callers, entries and runners.
+"""Simulates load on the entries in virtual time: callers, entries and runners.
 
-Tests and benches say what callers do and what runners are like, let the time pass, and
-look at what each caller got. A decision object has ``submit``, ``on_attempt_ended`` and
-``tick``, as ``serving.Service`` has; a baseline with the same methods can replace it.
+Tests and benches define the callers and the runners, advance the time, and evaluate
+what each caller received. A policy makes the decisions of an entry; it has ``submit``,
+``on_attempt_ended`` and ``tick``, as ``serving.Service`` has; a baseline with the same
+methods can replace it.
 """
 
 import heapq
@@ -21,7 +22,7 @@
 
 
 class Loop:
-    """Virtual time: functions called in the order of their moments."""
+    """Virtual time: calls functions in the order of their scheduled times."""
 
     def __init__(self):
         self.now_ms = 0.0
@@ -51,7 +52,7 @@
 
 
 class CallResult(typing.NamedTuple):
-    """What a caller got, and when it was sent."""
+    """What a caller received, and when it had sent its request."""
 
     call: Call
     outcome: str
@@ -69,7 +70,7 @@
 
 
 class Runner:
-    """Slots, and a ``mode``: ok, slow, error or gone."""
+    """A runner with slots, and a ``mode``: ok, slow, error or gone."""
 
     def __init__(self, loop, view, slow_factor=10):
         self.loop = loop
@@ -82,7 +83,7 @@
         self.busy_ms = 0.0
 
     def handle(self, call, done):
-        """Serve a call; ``done(result, status)`` when it has ended here."""
+        """Serve a call; calls ``done(result, status)`` when it has ended."""
         if self.mode == "gone":
             done(serving.UNREACHABLE, 0)
         elif self.mode == "error":
@@ -108,7 +109,7 @@
 
 
 class Entry:
-    """Carries out the decisions of one service as the entry's threads do."""
+    """Carries out a policy's decisions for one service, as an entry's threads do."""
 
     def __init__(self, loop, policy, domain, runners, results):
         self.loop = loop
@@ -121,7 +122,7 @@
         loop.after(TICK_MS, self._tick)
 
     def submit(self, call):
-        """A caller's request arrives."""
+        """Handle the request of a caller."""
         request_id = f"r{next(self._numbers)}"
         now_ms = self.loop.now_ms
         self._open[request_id] = [call, now_ms, 0, (), 0.0]
@@ -190,9 +191,9 @@
 
 
 class Cell:
-    """Entries and runners of one service over domains, and what callers got.
+    """Entries and runners of one service over failure domains, and all call results.
 
-    ``make_policy(place, random)`` makes the decision object of one entry.
+    ``make_policy(location, random)`` makes the policy of one entry.
     """
 
     def __init__(
@@ -223,7 +224,7 @@
         return sum(runner.view.slots for runner in self.runners)
 
     def arrivals(self, per_s, make_call, start_ms, end_ms, entries=None):
-        """Callers send at random moments, so many a second, to entries at random."""
+        """Send ``per_s`` requests a second on average, each to a random entry."""
         entries = entries or self.entries
 
         def arrive():
@@ -238,19 +239,19 @@
         self.loop.at(start_ms, schedule)
 
     def burst(self, number, make_call, time_ms, entry=None):
-        """So many requests at one moment, to one entry or spread evenly."""
+        """Send ``number`` requests at one time, to one entry or spread over all."""
         for turn in range(number):
             target = entry or self.entries[turn % len(self.entries)]
             call = make_call(self.random)
             self.loop.at(time_ms, lambda e=target, c=call: e.submit(c))
 
     def run(self, end_ms):
-        """Let time pass, and all that is open then end."""
+        """Advance the virtual time; returns the cell itself."""
         self.loop.run_until(end_ms)
         return self
 
     def update_views(self):
-        """Tell the entries of runners that left for good."""
+        """Update the entries' lists of runners, without those that are gone."""
         views = [r.view for r in self.runners if r.mode != "gone"]
         for entry in self.entries:
             entry.policy.set_runners(views)
@@ -272,7 +273,7 @@
 
 
 def make_service(queue_length=64, weights=None, declared_run_ms=0):
-    """A ``make_policy`` for ``Cell`` with the project's own decisions."""
+    """A ``make_policy`` for ``Cell`` with the decisions of ``serving.Service``."""
 
     def make(location, rng):
         service = serving.Service(location, queue_length, rng)
--- a/tools/virtual_parts.py
+++ b/tools/virtual_parts.py
@@ -1,4 +1,4 @@
-"""What days in virtual time are made of: queues, workers, steps, and their work.
+"""Builders for simulated days: queues, workers, steps and the work they do.
 
 >>> worker(1, 4000).target_id, step(2, 1000).tasks
 ('w1', 2)
@@ -14,7 +14,7 @@
 
 
 class Work(typing.NamedTuple):
-    """A step with how long each of its tasks really works, and the share it fails."""
+    """A step, the actual run time of each of its tasks, and the share that fails."""
 
     step: cell.Step
     work_ms: list
@@ -22,23 +22,23 @@
 
 
 class Outcome(typing.NamedTuple):
-    """What became of a queue's jobs: counts, and the work of those in time."""
+    """How many of a queue's jobs met their objective, were late, or never completed."""
 
     jobs: int
     on_time: int
     late: int
-    """Done after the objective, but within three times of it."""
+    """Completed after the objective, but within three times of it."""
     never: int
-    """Done later than that, or not at all."""
+    """Completed later than that, or not at all."""
 
     @property
     def share(self):
-        """The share done within the objective."""
+        """The share of jobs completed within the objective."""
         return self.on_time / max(1, self.jobs)
 
 
 def queue(name, priority=0, stretch=2.0, target_latency_ms=500, **options):
-    """A queue whose jobs arrive under its own name."""
+    """A queue that routes jobs by a path prefix equal to its name."""
     plain = cell.QueueConfig(
         name, HOST, f"/{name}/", POOL, priority, 3, stretch, target_latency_ms, 3000,
         None,
@@ -55,7 +55,7 @@
     service=POOL,
     domain="d",
 ):
-    """A worker's record."""
+    """The target record of a worker."""
     name = f"w{number}"
     capacity = common.Resources(cpu_millis, memory_mb, accelerators)
     return cell.TargetRecord(
@@ -72,7 +72,7 @@
     accelerators=0,
     **options,
 ):
-    """A step of equal tasks."""
+    """A step whose tasks are all the same."""
     demand = common.Resources(cpu_millis, memory_mb, accelerators)
     plain = cell.Step(
         tasks, demand, estimated_ms, list(after), *cell_state.NO_STEP_OPTIONS
@@ -81,7 +81,7 @@
 
 
 def objective_ms(queue_config, works):
-    """How long a job may take, by the longest chain of its real work."""
+    """The time allowed for a job, from the longest chain of its actual run times."""
     ends = []
     for work in works:
         began_ms = max((ends[earlier] for earlier in work.step.after), default=0.0)
--- a/tools/virtual_settings.py
+++ b/tools/virtual_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the virtual cell's leader, as its settings file would have them."""
+"""The settings file of the simulated cell's leader."""
 
 from alderreach.parser import settings as settings_parser
 
--- a/tools/virtual_tasks.py
+++ b/tools/virtual_tasks.py
@@ -1,7 +1,7 @@
-"""What tasks in virtual time do: how long they work, how they end, what they save.
+"""Behaviour of simulated tasks: how long they run, how they end, what they save.
 
-A gang works once all its members are there and ends as one. A run that is stopped
-leaves how far it came if its step saves that, and the next one goes on from there.
+A gang starts its work once all its members run, and ends as a whole. When a run of a
+checkpointing step is stopped, its progress is saved and the next run resumes from it.
 
 >>> made = Tasks(loop, random.Random(1), restore_ms=100.0)  # doctest: +SKIP
 >>> made.add("j1", [work])  # doctest: +SKIP
@@ -13,12 +13,12 @@
 
 from tools import virtual_workers
 
-# A lasting run that fails does so after this, evenly.
+# Range of the uniform distribution of times after which a long-running run fails.
 LONG_RUNNING_FAILURE_MS = (1000.0, 10_000.0)
 
 
 class Tasks:
-    """The tasks of all jobs; going on from a checkpoint takes ``restore_ms``."""
+    """The tasks of all jobs; resuming from a checkpoint takes ``restore_ms``."""
 
     def __init__(self, loop, rng, restore_ms):
         self._loop = loop
@@ -29,7 +29,7 @@
         self._gangs = {}
 
     def add(self, job_id, works):
-        """A job is handed in, of one ``virtual_parts.Work`` a step."""
+        """Add a job with one ``virtual_parts.Work`` per step."""
         self._works[job_id] = works
 
     def work_of(self, order):
@@ -52,9 +52,9 @@
         return self._works[key.job_id][key.step].step
 
     def on_run_started(self, machine, run):
-        """A run began on a worker: it will end by itself once its work is done.
+        """Schedule the end of a run that has started on a worker.
 
-        A gang's members work once all of them are there.
+        The members of a gang begin their work once all of them run.
         """
         key = virtual_workers.task_key(run.order.task)
         step = self.step_of(key)
@@ -68,7 +68,7 @@
             self._start_gang(list(members.values()))
 
     def _start_gang(self, members):
-        """All members are there: they are done together, or one fails on the way."""
+        """Begin the work of a gang: it completes as a whole, or one member fails."""
         for _machine, run in members:
             run.began_ms = self._loop.now_ms
         work_ms = max(run.work_ms for _machine, run in members)
@@ -83,7 +83,7 @@
         self._loop.after(work_ms / 2 if failing else work_ms, end)
 
     def save(self, run, how, now_ms):
-        """What a run that ends leaves: its checkpoint if its step saves."""
+        """Save the progress of a run that ends; returns its checkpoint, or ''."""
         key = virtual_workers.task_key(run.order.task)
         step = self.step_of(key)
         if how != "stopped" or not step.checkpointing or step.long_running:
@@ -94,5 +94,5 @@
         return "saved"
 
     def _save_key(self, key):
-        """Under what a task's progress is saved: a gang saves as one."""
+        """The key under which progress is saved: one for all members of a gang."""
         return key[:3] if self.step_of(key).gang else key
--- a/tools/virtual_watch.py
+++ b/tools/virtual_watch.py
@@ -1,7 +1,7 @@
-"""Watches a random day in virtual time for work that could run and doesn't.
+"""Detects work in a simulated day that could run but makes no progress.
 
-It looks at the model's machines, not at the leader's view of them; see
-``virtual_days.py``, whose ``Day`` it is given.
+It inspects the simulated machines, not the leader's view of them. The day is a ``Day``
+of ``virtual_days.py``.
 """
 
 import typing
@@ -10,36 +10,37 @@
 from tools import virtual_workers
 
 WATCH_INTERVAL_MS = 250
-# What could start has to start within this: two questions of the slowest rule.
+# Time within which work that could start has to start: two queries of the slowest rule.
 START_WITHIN_MS = 3000
-# A lasting task has to run again within this.
+# Time within which a long-running task has to run again.
 RESTART_WITHIN_MS = 6000
-# After a worker came or left. One that falls silent holds its tasks for its lease.
+# Time without checks after a worker joined or left. A worker that stops answering keeps
+# its tasks until its lease lapses.
 CALM_MS = 4000
 SILENT_LEASE_MS = 5500
-# There is room only if what waits fits this many times over, in a cell that is at most
-# so full.
+# Capacity counts as available only if it suffices for the waiting tasks this many
+# times over, in a cell that is used to less than this share.
 CAPACITY_FACTOR = 2
 MAX_USED_SHARE = 0.5
-# Nothing but lasting tasks runs for so long, a save and a restore included.
+# Longest run of a task that is not long-running, a save and a restore included.
 MAX_RUN_MS = 10_000
 
 
 class Stall(typing.NamedTuple):
-    """A step, or a lasting task, that could run and didn't."""
+    """A step, or a long-running task, that could have run and did not."""
 
     task: str
     at_ms: int
     waiting: int
     free_places: int
-    """How many of its tasks the workers that may run it had room for."""
+    """How many of its tasks would have fitted on the workers that may run it."""
     workers: int
-    """How many workers that is."""
+    """The number of these workers."""
     used_share: float
 
 
 class Watch:
-    """Polls all machines now and then, and notes what stands still."""
+    """Inspects all machines periodically, and records what makes no progress."""
 
     def __init__(self, day):
         self.day = day
@@ -51,11 +52,11 @@
         self._reported = set()
 
     def on_disturbance(self, until_ms):
-        """The workers changed, or one's tasks are held until this moment."""
+        """Workers have changed, or one keeps its tasks until this time."""
         self.calm_from_ms = max(self.calm_from_ms, until_ms + CALM_MS)
 
     def poll(self):
-        """Poll everything once, unless nobody leads."""
+        """Inspect all machines and steps once, unless there is no leader."""
         if self.day.term is None:
             return
         now_ms = self.day.loop.now_ms
@@ -81,7 +82,7 @@
                     self._report(key, len(waiting), free_places, used_share)
 
     def check_end(self):
-        """At the end everything has to be over that could be."""
+        """Report all steps that could have ended by the end of the day and have not."""
         running = self._running()
         up = [machine for machine in self.day.machines() if machine.is_up()]
         used_share = self._used_share(up)
@@ -97,7 +98,7 @@
                 self._report(group, len(waiting), free_places, used_share)
 
     def _keys(self, group, step, waiting):
-        """What is watched of a step, and since when at the earliest."""
+        """The parts of a step to watch, each with the earliest start of its wait."""
         if not step.long_running:
             return [(group, self.started_ms.get(group, 0))]
         return [((*group, index), 0) for index in sorted(waiting)] + [
@@ -125,7 +126,7 @@
         )
 
     def _running(self):
-        """Which tasks of each step run on some machine."""
+        """The tasks of each step that run on some machine."""
         running = {}
         for machine in self.day.machines():
             for run in machine.runs.values():
--- a/tools/virtual_workers.py
+++ b/tools/virtual_workers.py
@@ -1,26 +1,26 @@
-"""Model workers in virtual time: they do as told at once, while they are reached.
+"""Simulated workers in virtual time: they carry out orders at once while reachable.
 
-A worker kills all it runs when its lease lapses, as the real ones do.
+A worker kills all its runs when its lease lapses, as real workers do.
 """
 
 from alderreach.core import cell_state, orders
 from alderreach.ops.controller import target_link
 
-# A worker kills what it is told to stop, or saves it first, within this.
+# Time within which a worker kills a run that it has to stop, or saves it first.
 STOP_MS = 60.0
 MAX_LEASE_MS = 6000
-# A call that gets no answer fails after this, a poll's wait added.
+# A call without an answer fails after this time; for a poll, its wait is added.
 CALL_TIMEOUT_MS = 500.0
 
 
 def task_key(task):
-    """The key that a task's name spells."""
+    """Parse the name of a task into its key."""
     job_id, *numbers = task.split(".")
     return cell_state.TaskKey(job_id, *map(int, numbers))
 
 
 class _Running:
-    """One run on a model worker."""
+    """One run on a simulated worker."""
 
     def __init__(self, order, work_ms, how, now_ms):
         self.order = order
@@ -30,12 +30,12 @@
         self.is_over = False
 
     def done_ms(self, now_ms):
-        """How much of its work is done."""
+        """How much of its work is done, in milliseconds."""
         return min(self.work_ms, max(0.0, now_ms - self.began_ms))
 
 
 class Machine:
-    """A worker that does as it is told at once, until it leaves."""
+    """A worker that carries out orders at once, until it ends."""
 
     def __init__(self, world, record):
         self.world, self.record = world, record
@@ -52,7 +52,7 @@
         self._has_lease_timer = False
 
     def leave(self):
-        """End with all that runs here; another life answers at this address now."""
+        """End with all runs; another incarnation answers at this address afterwards."""
         self.has_ended = True
         runs, self.runs = list(self.runs.values()), {}
         for run in runs:
@@ -62,29 +62,29 @@
             self._answer_poll(self.pending_poll)
 
     def crash(self):
-        """End with all that runs here; nobody answers any more."""
+        """End with all runs; calls to this address time out."""
         self.is_cut_off = True
         self.leave()
 
     def refuse(self):
-        """End with all that runs here; connections are refused."""
+        """End with all runs; connections to this address are refused."""
         self.is_refusing = True
         self.crash()
 
     def accept_new_incarnation(self):
-        """Another life answers at this address from now on."""
+        """Let another incarnation answer at this address from now on."""
         self.is_refusing = self.is_cut_off = False
 
     def cut_off(self):
-        """Hear and answer nothing from now on; what runs here ends with its lease."""
+        """Stop receiving and answering calls; the runs end when the lease lapses."""
         self.is_cut_off = True
 
     def reconnect(self):
-        """Hear and answer again, unless it has ended."""
+        """Receive and answer again, unless the worker has ended."""
         self.is_cut_off = self.has_ended and self.is_cut_off
 
     def is_up(self):
-        """Whether it may get work: reached, and neither gone nor draining."""
+        """Whether it can be given work: reachable, not ended and not draining."""
         is_here = not self.has_ended and not self.is_cut_off
         return is_here and self.record.state == "ready"
 
@@ -103,7 +103,7 @@
         return orders.OrderResult(outcome, self._clock_ms())
 
     def poll(self, poll, answer):
-        """Answer a poll once there is an end, or its time is over."""
+        """Answer a poll once there is an end to list, or its wait is over."""
         if poll.epoch < self.epoch:
             answer(orders.PollResult(orders.FENCED, self._clock_ms()))
             return
@@ -118,7 +118,7 @@
         self.world.loop.after(poll.wait_ms, lambda: self._answer_poll(pending_poll))
 
     def end(self, run, how):
-        """A run here ends, unless it has."""
+        """End a run, unless it has ended already."""
         if run.is_over:
             return
         run.is_over = True
@@ -202,7 +202,7 @@
 
 
 class Link:
-    """Stands for ``target_link.TargetLink``."""
+    """Replaces ``target_link.TargetLink``."""
 
     def __init__(self, world, machine, epoch):
         self._world, self._machine, self._epoch = world, machine, epoch
@@ -238,7 +238,7 @@
         self._deliver(kind, order, result)
 
     def _fail(self, kind, order, wait_ms):
-        """No answer arrives, which is known once the call has waited for it."""
+        """Report a call without an answer, once its timeout is over."""
         is_poll = kind is target_link.PollAnswered
         is_refused = self._machine.is_refusing
         outcome = orders.CONNECTION_REFUSED if is_refused else orders.UNKNOWN
