--- a/tools/standins/announcer.py
+++ b/tools/standins/announcer.py
@@ -1,4 +1,4 @@
-"""How a stand-in target announces itself to its failure domain's placers."""
+"""Announces a stand-in target to the placers of its failure domain."""
 
 import json
 import threading
@@ -12,10 +12,10 @@
 
 
 class Announcer:
-    """One target's announcements, on a thread of its own.
+    """Sends the announcements of one target, on its own thread.
 
-    ``report()`` gives the message's changing part; ``on_answer(answer, sent_s)`` gets
-    each 200 answer with the monotonic time at which the announcement was sent.
+    ``report()`` returns the content of a message. ``on_answer(answer, sent_s)`` is
+    called with each 200 answer and the monotonic time at which the message was sent.
     """
 
     def __init__(
@@ -43,11 +43,11 @@
         self._wake.set()
 
     def sent_s(self, sequence):
-        """When an announcement was sent; None if it is too old to be known."""
+        """When an announcement was sent; None if that is no longer stored."""
         return self._sent_s.get(sequence)
 
     def stop(self):
-        """Send one last announcement, then end."""
+        """Send a last announcement and end the thread."""
         self._stopping = True
         self._wake.set()
         self._thread.join(timeout=3)
