--- a/tools/soak/__init__.py
+++ b/tools/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of the programs that run a cell on the users' platform."""
+"""A randomized soak test of the programs that run a cell on the users' platform."""
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -1,7 +1,7 @@
-"""Callers of a soak: they hand jobs in, ask for them, and sometimes cancel them.
+"""Callers of the soak test: they submit jobs, query them, and sometimes cancel them.
 
-A caller keeps its connections open until they end. Without an answer it sends the same
-request again, at any frontend; only a job that was rejected each time is given up.
+A caller keeps its connections open until they fail. Without an answer it repeats the
+request at any frontend; a job counts as refused only if every attempt was rejected.
 """
 
 import http.client
@@ -23,19 +23,19 @@
 REJECTED = (429, 503)
 MAX_LATENCY_MS = 600_000
 WIDE_CPU_MILLIS = 5000
-# Jobs that last: all six together leave any worker room for a task that is wide.
+# Long-running jobs: even all six on one worker leave enough capacity for a wide task.
 LONG_RUNNING_JOBS = range(5, 95, 15)
-# Jobs whose task crashes each worker that starts it.
+# Jobs whose task crashes every worker that starts it.
 CRASHING_JOBS = range(8, 95, 40)
 
 
 def prefix_of(job_id):
-    """The queue of a job: every other one may run on permitted workers only."""
+    """The path prefix of a job's queue: odd jobs may run on permitted workers only."""
     return PERMITTED if int(job_id, 16) % 2 else FREE
 
 
 def _step_json(step):
-    """A step as a caller spells it: what is empty or false is left out."""
+    """A step as submitted by callers: empty and false fields are left out."""
     fields = {"count": step.count, "cpu": step.cpu_millis, "mem_mb": 1}
     fields |= {"estimated_ms": 200, "after": step.after, "gang": step.gang}
     fields |= {"long_running": step.long_running}
@@ -43,7 +43,7 @@
 
 
 class Answer(typing.NamedTuple):
-    """One request as its caller saw it; ``status`` is 0 without an answer."""
+    """The outcome of one request for its caller; ``status`` is 0 without an answer."""
 
     at_s: float
     kind: str
@@ -52,9 +52,9 @@
 
 
 class Callers:
-    """Threads that submit jobs until ``stop``; ``answers`` is what they were told.
+    """Threads that submit jobs until ``stop``; ``answers`` has all their answers.
 
-    ``crashing`` are the numbers of jobs whose task crashes its workers.
+    ``crashing`` are the numbers of the jobs whose task crashes its workers.
     """
 
     def __init__(self, addresses, promises, rng, crashing=(), threads=3):
@@ -76,26 +76,26 @@
         ]
 
     def start(self):
-        """Begin to call."""
+        """Start the callers."""
         for thread in self._threads:
             thread.start()
         return self
 
     def stop(self):
-        """Hand nothing in any more and wait for the callers to end."""
+        """Submit nothing more and wait for the callers to end."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
 
     def state(self, session, job_id):
-        """What a job is shown as; None without a clear answer."""
+        """The state that a frontend shows for a job; None without a clear answer."""
         status, body = self._call(session, "GET", job_id)
         if status == 410:
             self._promises.violations.append(f"{job_id} was accepted and is unknown")
         return json.loads(body).get("state") if status == 200 else None
 
     def session(self):
-        """Connections of one caller."""
+        """The connection pool of one caller."""
         return urllib3.PoolManager(retries=False, timeout=TIMEOUT_S, maxsize=2)
 
     def _run(self):
@@ -122,7 +122,7 @@
             if kind < 0.5:
                 steps.append(step(rng.randrange(1, 4), 500, [0]))
             elif kind < 0.7:
-                # Each task takes more than half of a worker.
+                # Each task needs more than half of a worker.
                 steps.append(step(2, WIDE_CPU_MILLIS, [0], gang=kind < 0.6))
             cancels = rng.random() < 0.15
             if self._number in self._crashing:
--- a/tools/soak/day.py
+++ b/tools/soak/day.py
@@ -1,4 +1,4 @@
-"""One seeded day of the soak: a cell of real processes, its callers and its faults.
+"""One seeded day of the soak test: a cell of real processes, callers and faults.
 
 >>> report = play(7, folder, 10)  # doctest: +SKIP
 >>> report.violations  # doctest: +SKIP
@@ -26,11 +26,12 @@
 CONTROLLERS, FRONTENDS, WORKERS = 4, 2, 4
 CPU_MILLIS = 8000
 WORK_MS = (60, 250, 900)
-# After the last fault: elections, leases of 4.5 s, connections held by the kernel.
+# Time to recover after the last fault: elections, leases of 4.5 s, connections whose
+# data the kernel buffers.
 RECOVERY_S = 60
-# A worker that a task has crashed is back after this.
+# A worker that was crashed by a task restarts after this time.
 RESTART_AFTER_S = 1.0
-# In the calm, accepted work that waits for longer than this without any start is lost.
+# During recovery, accepted work counts as lost if nothing at all starts for this time.
 STILL_S = 20
 RULE = permissions.Rule(decision_ms=60, per_worker_ms=2, validity_ms=1000)
 ROUTE = {
@@ -68,7 +69,7 @@
 
 
 class Worker(platform_worker.PlatformWorker):
-    """A stand-in worker behind the relay, whose starts and ends are checked."""
+    """A stand-in worker behind the relay; ``Promises`` checks its starts and ends."""
 
     def __init__(
         self, name, address, announced_address, link, controls, scene, work_ms
@@ -83,26 +84,26 @@
         promises.workers.append(self.worker)
 
     def crash(self):
-        """Stop answering for good; what ran is gone."""
+        """Stop answering until a restart, and lose all runs."""
         with self._lock:
             self._promises.on_crash(self.worker)
             self.worker.crash()
 
     def vanish(self):
-        """End for good without a word, or after a goodbye if it drains."""
+        """End for good; this counts as a crash unless the worker is draining."""
         with self._lock:
             if self.worker.state != "draining":
                 self._promises.on_crash(self.worker)
         super().vanish()
 
     def restart(self):
-        """Begin a new life under the same id."""
+        """Begin a new incarnation under the same id."""
         with self._lock:
             self._permission.revoke_tickets(self.name)
             self.worker.restart()
 
     def on_started(self, order):
-        """Crash if the task does that to workers, and come back soon."""
+        """Crash if the task crashes its workers, and restart soon after."""
         if self._promises.check_crash(order.task):
             self.crash()
             threading.Timer(RESTART_AFTER_S, self._restart_unless_stopping).start()
@@ -119,9 +120,9 @@
 
 
 def play(seed, folder, duration_s, crashing=()):
-    """Play a seed's faults for so long, then wait until all is as it should be.
+    """Inject a seed's faults for ``duration_s``, then check that the cell recovers.
 
-    ``crashing`` are the numbers of jobs whose task crashes its workers.
+    ``crashing`` are the numbers of the jobs whose task crashes its workers.
     """
     promises = promises_module.Promises()
     with contextlib.ExitStack() as stack:
@@ -164,10 +165,11 @@
 
 
 def may_run(seed, step, worker):
-    """Whether the permission service lets a step run on a worker: two places or three.
+    """Whether the permission service lets a step run on a worker.
 
-    A worker that comes in another's place may run the same steps, so that whatever was
-    accepted can run once all places are taken.
+    Each step may run in two or three of the places. A replacement may run the same
+    steps as the worker before it, so that all accepted work can run once all places are
+    filled.
     """
     rng = random.Random(f"permits {seed} {step}")
     places = rng.sample(range(WORKERS), rng.choice([2, 3]))
@@ -185,7 +187,7 @@
 
 
 def _worker_starter(running, links, controls, scene, seed, stack):
-    """A function that starts a worker with a fresh id in one of the places."""
+    """Make a function that starts a worker with a new id in one of the places."""
     rng = random.Random(f"workers {seed}")
     rounds = [itertools.count(place, WORKERS) for place in range(WORKERS)]
 
@@ -213,7 +215,7 @@
 
 
 def _link_frontends(running, links):
-    """Callers reach the frontends through the relay too; returns the addresses."""
+    """Add relay links from callers to the frontends; returns their addresses."""
     addresses = []
     for number, plan in enumerate(running.of_role("frontend"), 1):
         listen = f"127.{running.octet}.6.{number}"
@@ -238,7 +240,7 @@
 
 
 def _check_recovery(calling, promises):
-    """All accepted jobs end as they should; nothing is left of cancelled ones."""
+    """Check that accepted jobs end as expected and that no cancelled one runs on."""
     session = calling.session()
     starts, started_s = promises.starts, time.monotonic()
     left = [job_id for job_id in calling.accepted if job_id not in calling.cancelled]
@@ -271,16 +273,17 @@
 
 
 def _is_excused_failure(calling, promises, session, job_id):
-    """Whether a job is shown as failed, and workers have crashed under a task of it."""
+    """Whether a job is shown as failed, and workers crashed while running its tasks."""
     is_allowed = promises.may_fail(job_id) and not promises.must_fail(job_id)
     return is_allowed and calling.state(session, job_id) == "failed"
 
 
 def _is_as_expected(calling, promises, session, job_id):
-    """Whether a job is completed; one that lasts runs, with all its tasks.
+    """Whether a job is in its expected state.
 
-    A cancellation that never got a clear answer may be in force or not; if it is, the
-    job has to be gone like any other that was cancelled.
+    That is completed, failed for jobs whose tasks crash their workers, and running with
+    all its tasks for long-running ones. A cancellation that never got a clear answer
+    may have taken effect or not; if it has, the job counts as cancelled from then on.
     """
     state = calling.state(session, job_id)
     if state == "cancelled" and job_id in calling.unclear:
--- a/tools/soak/faults.py
+++ b/tools/soak/faults.py
@@ -1,12 +1,12 @@
-"""Faults of a soak, brought about from outside the programs.
-
-Each fault begins and ends by itself after a drawn time; several overlap. Processes are
-ended, paused and restarted by signals; connections to workers and from callers go
-through a relay that cuts, slows and resets them; disks are emptied while their process
-is down. What the cell promises to bear is kept to: one controller out of three voters
-is gone or without its disk at a time, but all of them may lose power together.
-Workers leave for good, and others come in their place, one at a time: each step may
-run on two of the four places or more, and has to be able to run in the end.
+"""Injects the faults of a soak test from outside the programs.
+
+Each fault lasts for a random time; several overlap. Processes are killed, stopped,
+paused and restarted; connections to workers and from callers go through a relay that
+cuts, slows and resets them; data folders are deleted while their process is down. The
+faults stay within what the cell tolerates: one controller out of three voters is down
+or without its disk at a time, but all of them may lose power together. Workers leave
+for good and are replaced, one at a time: each step may run in at least two of the four
+places, and has to be able to run in the end.
 """
 
 import random
@@ -19,12 +19,12 @@
 from tools import relay as relay_module
 
 ROLES = ("controller", "frontend")
-# A worker that drains serves for at least two seconds.
+# A draining worker serves for at least two seconds before it leaves.
 DRAIN_S = 2.2
 
 
 class Fault(typing.NamedTuple):
-    """One fault as it happened."""
+    """One injected fault."""
 
     at_s: float
     for_s: float
@@ -33,7 +33,7 @@
 
 
 class Faults:
-    """Draws faults until its time is over, then mends all."""
+    """Injects random faults until its time is over, then repairs all."""
 
     def __init__(self, running, relay, workers, start_worker, seed):
         self._running = running
@@ -60,25 +60,25 @@
         }
 
     def play(self, duration_s):
-        """Faults for so long; returns once the last one is mended."""
+        """Inject faults for ``duration_s``; returns once the last one is repaired."""
         deadline_s = time.monotonic() + duration_s
         threads = [threading.Thread(target=self._replace_workers, args=[deadline_s])]
         threads[0].start()
         while time.monotonic() < deadline_s:
             kind = self._rng.choice(list(self._kinds))
             hold_s = self._rng.choice([0.05, 0.4, 1.5, 4.0])
-            place_lot = self._rng.random()
-            work = lambda k=kind, h=hold_s, p=place_lot: self._kinds[k](k, h, p)
+            place_draw = self._rng.random()
+            work = lambda k=kind, h=hold_s, p=place_draw: self._kinds[k](k, h, p)
             threads.append(threading.Thread(target=work, daemon=True))
             threads[-1].start()
             time.sleep(self._rng.choice([0.1, 0.5, 1.2]))
         for thread in threads:
             thread.join()
 
-    def _kill(self, kind, hold_s, lot):
-        self._process_fault(kind, hold_s, lot, ROLES, self._kill_process)
+    def _kill(self, kind, hold_s, draw):
+        self._process_fault(kind, hold_s, draw, ROLES, self._kill_process)
 
-    def _stop(self, kind, hold_s, lot):
+    def _stop(self, kind, hold_s, draw):
         def stop(plan, hold_s):
             process = self._running.processes[plan.name]
             process.terminate()
@@ -86,17 +86,17 @@
             time.sleep(hold_s)
             self._running.start([plan.name])
 
-        self._process_fault(kind, hold_s, lot, ROLES, stop)
+        self._process_fault(kind, hold_s, draw, ROLES, stop)
 
-    def _pause(self, kind, hold_s, lot):
+    def _pause(self, kind, hold_s, draw):
         def pause(plan, hold_s):
             self._running.pause(plan.name)
             time.sleep(hold_s)
             self._running.resume(plan.name)
 
-        self._process_fault(kind, hold_s, lot, ROLES, pause)
+        self._process_fault(kind, hold_s, draw, ROLES, pause)
 
-    def _wipe(self, kind, hold_s, lot):
+    def _wipe(self, kind, hold_s, draw):
         def wipe(plan, hold_s):
             self._running.kill(plan.name)
             shutil.rmtree(self._running.folder / "data" / plan.name)
@@ -104,15 +104,15 @@
             self._running.start([plan.name])
             self._await_member(plan)
 
-        self._process_fault(kind, hold_s, lot, ("controller",), wipe)
+        self._process_fault(kind, hold_s, draw, ("controller",), wipe)
 
     def _kill_process(self, plan, hold_s):
         self._running.kill(plan.name)
         time.sleep(hold_s)
         self._running.start([plan.name])
 
-    def _dark(self, kind, hold_s, _lot):
-        """All controllers lose power; left out while one of them is in trouble."""
+    def _dark(self, kind, hold_s, _draw):
+        """Kill all controllers at once; skipped while one of them has a fault."""
         plans = self._running.of_role("controller")
         with self._lock:
             if any(plan.name in self._busy for plan in plans):
@@ -127,29 +127,30 @@
         self._running.start([plan.name for plan in plans])
         self._release(plan.name for plan in plans)
 
-    def _cut(self, kind, hold_s, lot):
-        self._link_fault(kind, hold_s, lot, lambda name: self._relay.cut([name]))
+    def _cut(self, kind, hold_s, draw):
+        self._link_fault(kind, hold_s, draw, lambda name: self._relay.cut([name]))
 
-    def _cut_one_way(self, kind, hold_s, lot):
-        directions = (relay_module.IN,) if lot < 0.5 else (relay_module.OUT,)
+    def _cut_one_way(self, kind, hold_s, draw):
+        directions = (relay_module.IN,) if draw < 0.5 else (relay_module.OUT,)
         self._link_fault(
-            kind, hold_s, lot, lambda name: self._relay.cut([name], directions)
+            kind, hold_s, draw, lambda name: self._relay.cut([name], directions)
         )
 
-    def _slow(self, kind, hold_s, lot):
-        self._link_fault(kind, hold_s, lot, lambda name: self._relay.slow([name], 150))
+    def _slow(self, kind, hold_s, draw):
+        self._link_fault(kind, hold_s, draw, lambda name: self._relay.slow([name], 150))
 
-    def _reset(self, kind, hold_s, lot):
-        self._link_fault(kind, hold_s, lot, lambda name: self._relay.reset([name]))
+    def _reset(self, kind, hold_s, draw):
+        self._link_fault(kind, hold_s, draw, lambda name: self._relay.reset([name]))
 
-    def _worker_crash(self, kind, hold_s, lot):
+    def _worker_crash(self, kind, hold_s, draw):
         with self._lock:
-            worker = self._workers[int(lot * len(self._workers))]
+            worker = self._workers[int(draw * len(self._workers))]
             if worker.name in self._busy:
                 return
             self._busy.add(worker.name)
         self._record(kind, hold_s, worker.name)
-        # Silent while it is down; connections to the old life end with it.
+        # The worker is unreachable while it is down; connections to its previous
+        # incarnation are reset before it restarts.
         self._relay.cut([worker.link])
         worker.crash()
         time.sleep(hold_s)
@@ -167,7 +168,7 @@
             time.sleep(rng.choice([0.1, 0.5, 1.2]))
 
     def _replace_worker(self, kind, hold_s, place):
-        """A worker leaves for good; after a while another comes in its place."""
+        """Make a worker leave for good, and start another in its place later."""
         with self._lock:
             worker = self._workers[place]
             if worker.name in self._busy:
@@ -185,10 +186,10 @@
         with self._lock:
             self._workers[place] = replacement
 
-    def _process_fault(self, kind, hold_s, lot, roles, act):
-        """A fault of one process; of the controllers one at a time."""
+    def _process_fault(self, kind, hold_s, draw, roles, act):
+        """Inject a fault into one process; only one controller at a time has one."""
         plans = [plan for plan in self._running.plans if plan.role in roles]
-        plan = plans[int(lot * len(plans))]
+        plan = plans[int(draw * len(plans))]
         with self._lock:
             taken = {plan.name}
             if plan.role == "controller":
@@ -200,16 +201,16 @@
         act(plan, hold_s)
         self._release(taken)
 
-    def _link_fault(self, kind, hold_s, lot, act):
+    def _link_fault(self, kind, hold_s, draw, act):
         names = self._relay.names()
-        name = names[int(lot * len(names))]
+        name = names[int(draw * len(names))]
         self._record(kind, hold_s, name)
         act(name)
         time.sleep(hold_s)
         self._relay.heal([name])
 
     def _await_member(self, plan):
-        """Until a controller without a disk has a vote or copy again."""
+        """Wait until a controller whose disk was wiped has a vote or a copy again."""
         log = lambda: self._running.log(plan.name).rpartition("process_started")[2]
         deadline_s = time.monotonic() + 20
         while '"members_changed"' not in log() and time.monotonic() < deadline_s:
--- a/tools/soak/main.py
+++ b/tools/soak/main.py
@@ -1,7 +1,7 @@
-"""Play seeds of the soak: ``python -m tools.soak.main [first seed] [seeds] [seconds]``.
+"""Run the soak test: ``python -m tools.soak.main [first seed] [seeds] [seconds]``.
 
-Each seed starts a cell of six processes and ends all of them. Exits 1 if a promise was
-broken; the seeds concerned are printed with their logs' folder, which is then kept.
+Each seed starts a cell of six processes and stops all of them. Exits 1 if a guarantee
+was violated; these seeds are printed with the folder of their logs, which is kept.
 """
 
 import pathlib
--- a/tools/soak/promises.py
+++ b/tools/soak/promises.py
@@ -1,7 +1,7 @@
-"""What callers and workers may rely on, checked from outside while a cell runs.
+"""Checks the cell's guarantees to callers and workers from outside while it runs.
 
-Workers ask ``check_start`` before each start and say what they see end; callers say
-what they were told. Whatever breaks a promise is kept as a line of text.
+Workers call ``check_start`` before each start and report the ends of runs; callers
+report the answers to their submissions. Each violation is recorded as a line of text.
 """
 
 import collections
@@ -12,14 +12,14 @@
 from alderreach.utils import clocks
 
 DONE = "done"
-# A third crash is proof enough; two more starts may be under way until it is known.
+# A task is given up after its third crash; two more starts may be in flight until then.
 MAX_CRASHES = 5
-# A task under which so many workers have crashed may be given up.
+# A task may be given up once this many workers have crashed while running it.
 MIN_CRASHES_TO_GIVE_UP = 2
 
 
 class Step(typing.NamedTuple):
-    """A step of a job; ``after`` are the numbers of earlier ones."""
+    """A step of a job; ``after`` are the numbers of the steps it depends on."""
 
     count: int
     cpu_millis: int
@@ -27,11 +27,11 @@
     gang: bool = False
     long_running: bool = False
     crashes: bool = False
-    """Each of its tasks crashes all workers that start it."""
+    """Whether each of its tasks crashes every worker that starts it."""
 
 
 class Promises:
-    """The world that the stand-in workers share; ``lock`` guards all of it."""
+    """The environment that the stand-in workers share; ``lock`` guards all of it."""
 
     def __init__(self):
         self.lock = threading.RLock()
@@ -51,19 +51,19 @@
         return types.SimpleNamespace(now_ms=clocks.SYSTEM.monotonic_ms())
 
     def on_job_submitted(self, job_id, steps):
-        """A caller is about to hand a job in; ``steps`` as ``Step``."""
+        """A caller is about to submit a job with these ``Step`` objects."""
         with self.lock:
             self.steps[job_id] = steps
 
     def on_job_refused(self, job_id):
-        """All attempts to hand a job in were rejected, so it must never run."""
+        """All attempts to submit a job were rejected, so it must never run."""
         with self.lock:
             self.refused.add(job_id)
             if any(task.startswith(f"{job_id}.") for task in self._started()):
                 self.violations.append(f"{job_id} was refused and has run")
 
     def check_start(self, worker, order):
-        """What must hold whenever a worker starts something."""
+        """Check the guarantees that concern a start on a worker."""
         self.starts += 1
         task = order.task
         job_id, _occurrence, number, _index = task.split(".")
@@ -75,7 +75,7 @@
         if task in self.acknowledged:
             self.violations.append(f"{task} starts after its end was acknowledged")
         for other in self.workers:
-            # A lease may have lapsed a moment ago, unnoticed as yet.
+            # A lease may have lapsed since the worker last processed the time.
             other.step()
             if task in other.running and not other.is_down:
                 self.violations.append(
@@ -85,7 +85,7 @@
         self._check_capacity(worker, order)
 
     def on_end_acknowledged(self, end):
-        """An end was acknowledged."""
+        """An end has been acknowledged."""
         if end.how == DONE:
             self.acknowledged.update(self._tasks_ending_with(end.task))
 
@@ -94,16 +94,16 @@
         if how != DONE:
             return
         self.done.add(task)
-        # A worker that is gone may have taken a last start as it went.
+        # A worker that is down may have accepted a start just before.
         for worker in [worker for worker in self.workers if not worker.is_down]:
             for member in self._tasks_ending_with(task):
                 if member in worker.running:
                     worker.end(member, DONE)
 
     def may_end(self, task):
-        """The members of a gang work only while all of them run.
+        """Whether a run may end: for members of a gang, only while all of them run.
 
-        A task that lasts ends once by itself, and has to be started again.
+        A long-running task ends once by itself, and has to be started again.
         """
         if self._step_of(task).long_running:
             return task not in self.done
@@ -111,9 +111,9 @@
         return present.issuperset(self._tasks_ending_with(task))
 
     def unfinished(self, job_id):
-        """Tasks of a job of which no run has ended well.
+        """Tasks of a job of which no run has completed.
 
-        Those that last have to run again since then.
+        Long-running tasks also count as unfinished unless they run again by now.
         """
         with self.lock:
             over = self.done
@@ -122,7 +122,7 @@
             return [task for task in self._tasks(job_id) if task not in over]
 
     def check_crash(self, task):
-        """Whether a start that was carried out crashes its worker; counted."""
+        """Count a start if its task crashes its workers; returns whether it does."""
         if not self._step_of(task).crashes:
             return False
         with self.lock:
@@ -134,27 +134,27 @@
         return True
 
     def on_crash(self, worker):
-        """A worker is about to crash, under whatever runs there."""
+        """A worker is about to crash; this counts for all tasks that run there."""
         with self.lock:
             self.crashed_under.update(worker.running.keys())
 
     def may_fail(self, job_id):
-        """Whether so many workers have crashed under a task that it may be given up."""
+        """Whether enough workers have crashed under a task of a job to give it up."""
         return any(
             self.crashed_under[task] >= MIN_CRASHES_TO_GIVE_UP
             for task in self._tasks(job_id)
         )
 
     def must_fail(self, job_id):
-        """Whether a job can't be done, since its tasks crash their workers."""
+        """Whether a job can't complete, since some of its tasks crash their workers."""
         return any(step.crashes for step in self.steps[job_id])
 
     def is_long_running(self, job_id):
-        """Whether a job's tasks are to run until it is cancelled."""
+        """Whether a job's tasks have to run until it is cancelled."""
         return any(step.long_running for step in self.steps[job_id])
 
     def running(self, job_id):
-        """Tasks of a job that some worker works on."""
+        """Tasks of a job that run on some worker."""
         with self.lock:
             return [
                 task
@@ -177,7 +177,7 @@
         ]
 
     def _tasks_ending_with(self, task):
-        """The tasks that are over for good with a task: itself, or its gang."""
+        """The tasks that are finished together with a task: itself, or its gang."""
         job_id, occurrence, number, _index = task.split(".")
         step = self._step_of(task)
         if step.long_running:
--- a/tools/soak/report.py
+++ b/tools/soak/report.py
@@ -1,4 +1,4 @@
-"""The soak's report: counts, latencies, and service over time with its faults."""
+"""The report of a soak test: counts, latencies, availability and faults over time."""
 
 import collections
 
@@ -20,7 +20,7 @@
 
 
 def lines(report):
-    """The lines that tell of one day."""
+    """The lines of the report on one day."""
     statuses = collections.Counter(answer.status for answer in report.answers)
     kinds = collections.Counter(fault.kind for fault in report.faults)
     latency = report.latency
@@ -39,10 +39,10 @@
 
 
 def plot(report):
-    """Two rows over seconds: the share of requests answered well, and the faults.
+    """Two rows: the share of requests answered successfully, and the faults.
 
-    Each column is a second. The upper row is darker the more were answered well, the
-    lower has the letter of the last fault that began then.
+    Each column is one second. The upper row is darker the higher that share is; the
+    lower row has the letter of the last fault that began in that second.
     """
     seconds = int(max([answer.at_s for answer in report.answers], default=0)) + 1
     asked, served = [0] * seconds, [0] * seconds
