--- a/tools/virtual_cell.py
+++ b/tools/virtual_cell.py
@@ -60,7 +60,7 @@
     """One leader at a time, its workers and the permission service.
 
     ``helpers`` is the number of processes that query the permission service, which lets
-    the steps of a queue run on that queue's share of the workers (``good_shares``).
+    the steps of a queue run on the share of the workers in ``permitted_shares``.
     ``cpu_s`` is the processor time used by the leader's own code, ``cpu_by_second`` the
     same per second of virtual time, and ``waits`` holds the fields of each report on a
     step that has waited for a long time. ``silent_helpers`` accept queries and never
@@ -68,7 +68,13 @@
     """
 
     def __init__(
-        self, queues, records, helpers=12, good_shares=None, seed=1, restore_ms=600.0
+        self,
+        queues,
+        records,
+        helpers=12,
+        permitted_shares=None,
+        seed=1,
+        restore_ms=600.0,
     ):
         self.loop = virtual_load.Loop()
         self.rng = random.Random(seed)
@@ -84,7 +90,7 @@
         self.silent_helpers = set()
         self.cut_helpers = set()
         self._queues = {queue.name: queue for queue in queues}
-        self._good_shares = good_shares or {}
+        self._permitted_shares = permitted_shares or {}
         self._helpers = [f"helper-{number}" for number in range(helpers)]
         self._completed_ms = {}
         self._submissions = {}
@@ -377,7 +383,7 @@
         self.loop.after(2 * HOP_MS + (0 if is_cut else took_ms), tell)
 
     def _may_run(self, job, group, target_id):
-        share = self._good_shares.get(job.record.queue.name, 1.0)
+        share = self._permitted_shares.get(job.record.queue.name, 1.0)
         return random.Random(f"{group}{target_id}").random() < share
 
     def _record_completions(self):
