--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -1,7 +1,7 @@
-"""Callers of a soak: they hand jobs in, ask for them, and sometimes cancel them.
+"""Callers of the soak test: they submit jobs, query them, and sometimes cancel them.
 
-A caller keeps its connections open until they end. Without an answer it sends the same
-request again, at any frontend; only a job that was rejected each time is given up.
+A caller keeps its connections open until they fail. Without an answer it repeats the
+request at any frontend; a job counts as refused only if every attempt was rejected.
 """
 
 import http.client
@@ -21,29 +21,29 @@
 PAUSE_S = 0.15
 ATTEMPTS = 12
 REJECTED = (429, 503)
-HIGHEST_MS = 600_000
+MAX_LATENCY_MS = 600_000
 WIDE_CPU_MILLIS = 5000
-# Jobs that last: all six together leave any worker room for a task that is wide.
-LASTING = range(5, 95, 15)
-# Jobs whose task crashes each worker that starts it.
-CRASHING = range(8, 95, 40)
+# Long-running jobs: even all six on one worker leave enough capacity for a wide task.
+LONG_RUNNING_JOBS = range(5, 95, 15)
+# Jobs whose task crashes every worker that starts it.
+CRASHING_JOBS = range(8, 95, 40)
 
 
 def prefix_of(job_id):
-    """The queue of a job: every other one may run on permitted workers only."""
+    """The path prefix of a job's queue: odd jobs may run on permitted workers only."""
     return PERMITTED if int(job_id, 16) % 2 else FREE
 
 
-def _spelled(step):
-    """A step as a caller spells it: what is empty or false is left out."""
-    said = {"count": step.count, "cpu": step.cpu_millis, "mem_mb": 1}
-    said |= {"estimated_ms": 200, "after": step.after, "gang": step.gang}
-    said |= {"long_running": step.lasts}
-    return {name: value for name, value in said.items() if value}
+def _step_json(step):
+    """A step as submitted by callers: empty and false fields are left out."""
+    fields = {"count": step.count, "cpu": step.cpu_millis, "mem_mb": 1}
+    fields |= {"estimated_ms": 200, "after": step.after, "gang": step.gang}
+    fields |= {"long_running": step.long_running}
+    return {name: value for name, value in fields.items() if value}
 
 
 class Answer(typing.NamedTuple):
-    """One request as its caller saw it; ``status`` is 0 without an answer."""
+    """The outcome of one request for its caller; ``status`` is 0 without an answer."""
 
     at_s: float
     kind: str
@@ -52,15 +52,15 @@
 
 
 class Callers:
-    """Threads that submit jobs until ``stop``; ``answers`` is what they were told.
+    """Threads that submit jobs until ``stop``; ``answers`` has all their answers.
 
-    ``crashing`` are the numbers of jobs whose task crashes its workers.
+    ``crashing`` are the numbers of the jobs whose task crashes its workers.
     """
 
-    def __init__(self, addresses, promises, lots, crashing=(), threads=3):
+    def __init__(self, addresses, promises, rng, crashing=(), threads=3):
         self._addresses = addresses
         self._promises = promises
-        self._lots = lots
+        self._rng = rng
         self._crashing = crashing
         self._lock = threading.Lock()
         self._stopping = threading.Event()
@@ -70,39 +70,39 @@
         self.cancelled = set()
         self.unclear = set()
         self.answers = []
-        self.latency = HdrHistogram(1, HIGHEST_MS, 3)
+        self.latency = HdrHistogram(1, MAX_LATENCY_MS, 3)
         self._threads = [
             threading.Thread(target=self._run, daemon=True) for _ in range(threads)
         ]
 
     def start(self):
-        """Begin to call."""
+        """Start the callers."""
         for thread in self._threads:
             thread.start()
         return self
 
     def stop(self):
-        """Hand nothing in any more and wait for the callers to end."""
+        """Submit nothing more and wait for the callers to end."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
 
     def state(self, session, job_id):
-        """What a job is shown as; None without a clear answer."""
+        """The state that a frontend shows for a job; None without a clear answer."""
         status, body = self._call(session, "GET", job_id)
         if status == 410:
-            self._promises.broken.append(f"{job_id} was accepted and is unknown")
+            self._promises.violations.append(f"{job_id} was accepted and is unknown")
         return json.loads(body).get("state") if status == 200 else None
 
     def session(self):
-        """Connections of one caller."""
+        """The connection pool of one caller."""
         return urllib3.PoolManager(retries=False, timeout=TIMEOUT_S, maxsize=2)
 
     def _run(self):
         session = self.session()
         while not self._stopping.is_set():
             job_id, steps, cancels = self._draw()
-            self._promises.submitted(job_id, steps)
+            self._promises.on_job_submitted(job_id, steps)
             if self._submit(session, job_id, steps):
                 if cancels:
                     self._cancel(session, job_id)
@@ -111,27 +111,27 @@
 
     def _draw(self):
         with self._lock:
-            lots = self._lots
+            rng = self._rng
             self._number += 1
             job_id = f"{self._number:016x}"
             step = promises_module.Step
-            if self._number in LASTING:
-                return job_id, [step(1, 500, lasts=True)], lots.random() < 0.15
-            steps = [step(lots.randrange(1, 6), lots.choice([500, 1000, 2000]))]
-            kind = lots.random()
+            if self._number in LONG_RUNNING_JOBS:
+                return job_id, [step(1, 500, long_running=True)], rng.random() < 0.15
+            steps = [step(rng.randrange(1, 6), rng.choice([500, 1000, 2000]))]
+            kind = rng.random()
             if kind < 0.5:
-                steps.append(step(lots.randrange(1, 4), 500, [0]))
+                steps.append(step(rng.randrange(1, 4), 500, [0]))
             elif kind < 0.7:
-                # Each task takes more than half of a worker.
+                # Each task needs more than half of a worker.
                 steps.append(step(2, WIDE_CPU_MILLIS, [0], gang=kind < 0.6))
-            cancels = lots.random() < 0.15
+            cancels = rng.random() < 0.15
             if self._number in self._crashing:
                 return job_id, [step(1, 500, crashes=True)], False
             return job_id, steps, cancels
 
     def _submit(self, session, job_id, steps):
         body = json.dumps(
-            {"spec": "run", "steps": [_spelled(s) for s in steps]}
+            {"spec": "run", "steps": [_step_json(s) for s in steps]}
         ).encode()
         statuses = []
         for _attempt in range(ATTEMPTS):
@@ -141,11 +141,11 @@
                 self.accepted[job_id] = steps
                 return True
             if status == 404:
-                self._promises.broken.append("the queue is unknown")
+                self._promises.violations.append("the queue is unknown")
                 return False
             time.sleep(PAUSE_S)
         if all(status in REJECTED for status in statuses):
-            self._promises.was_refused(job_id)
+            self._promises.on_job_refused(job_id)
         return False
 
     def _cancel(self, session, job_id):
@@ -159,7 +159,7 @@
 
     def _call(self, session, method, job_id, body=None):
         with self._lock:
-            address = self._lots.choice(self._addresses)
+            address = self._rng.choice(self._addresses)
         began_s = time.monotonic()
         try:
             answer = session.request(
--- a/tools/soak/main.py
+++ b/tools/soak/main.py
@@ -1,7 +1,7 @@
-"""Play seeds of the soak: ``python -m tools.soak.main [first seed] [seeds] [seconds]``.
+"""Run the soak test: ``python -m tools.soak.main [first seed] [seeds] [seconds]``.
 
-Each seed starts a cell of six processes and ends all of them. Exits 1 if a promise was
-broken; the seeds concerned are printed with their logs' folder, which is then kept.
+Each seed starts a cell of six processes and stops all of them. Exits 1 if a guarantee
+was violated; these seeds are printed with the folder of their logs, which is kept.
 """
 
 import pathlib
@@ -24,9 +24,9 @@
     failed = []
     for seed in range(first, first + seeds):
         folder = pathlib.Path(tempfile.mkdtemp(prefix=f"alderreach-soak-{seed}-"))
-        played = day.play(seed, folder, seconds, callers.CRASHING)
+        played = day.play(seed, folder, seconds, callers.CRASHING_JOBS)
         print("\n".join(report.lines(played)), flush=True)
-        if played.broken:
+        if played.violations:
             failed.append(seed)
             print(f"  logs in {folder}", flush=True)
         else:
--- a/tools/virtual_cell.py
+++ b/tools/virtual_cell.py
@@ -1,8 +1,8 @@
-"""A leader's decisions under load in virtual time: no network, no log, no threads.
+"""Simulates a leader under load in virtual time, without network, log or threads.
 
-The leader's own code (``ops/controller``) decides; workers, the permission service and
-the commit of its log are modelled by delays. Tests and benches hand jobs in, let the
-time pass, and look at how long each job took against its objective.
+The decisions are made by the leader's own code (``ops/controller``); workers, the
+permission service and commits to the log are modelled by delays. Tests and benches
+submit jobs, advance the time, and compare each job's duration with its objective.
 
 >>> made = VirtualCell([virtual_parts.queue("q")], [virtual_parts.worker(1, 4000)])
 >>> work = virtual_parts.Work(virtual_parts.step(2, 1000), [300, 400])
@@ -38,18 +38,19 @@
     virtual_workers,
 )
 
-# One way to a worker, and a batch's way through the log: a sync and a round of voters.
+# One-way delay to a worker, and the time to commit a batch: one disk sync and one round
+# trip to the voters.
 HOP_MS = 1.0
 COMMIT_MS = 8.0
 TICK_MS = 20
 LATE_AFTER_OBJECTIVES = 3
-# A submission without an answer is handed in again.
-CALLER_RETRIES_MS = 1000
-# What becomes of a job.
+# A submission without an answer is sent again after this time.
+CALLER_RETRY_MS = 1000
+# Outcomes of a job.
 ON_TIME = "on_time"
 LATE = "late"
 NEVER = "never"
-# How the permission service answers.
+# Kinds of answers of the permission service.
 DECIDED = "decided"
 UNDECIDED = "undecided"
 SILENT = "silent"
@@ -58,35 +59,41 @@
 class VirtualCell:
     """One leader at a time, its workers and the permission service.
 
-    ``helpers`` is how many processes put questions to the service, which lets the steps
-    of a queue run on its share, by ``good_shares``, of the workers. ``cpu_s`` is the
-    processor time that the leader's own code took, ``cpu_by_second`` the same for each
-    second of virtual time, and ``waits`` holds the fields of each report on a step that
-    waits for long. ``silent_helpers`` take questions and
-    never answer; ``cut_helpers`` answer at once that the service can't be reached.
+    ``helpers`` is the number of processes that query the permission service, which lets
+    the steps of a queue run on the share of the workers in ``permitted_shares``.
+    ``cpu_s`` is the processor time used by the leader's own code, ``cpu_by_second`` the
+    same per second of virtual time, and ``waits`` holds the fields of each report on a
+    step that has waited for a long time. ``silent_helpers`` accept queries and never
+    answer; ``cut_helpers`` answer at once that the service can't be reached.
     """
 
     def __init__(
-        self, queues, records, helpers=12, good_shares=None, seed=1, restore_ms=600.0
+        self,
+        queues,
+        records,
+        helpers=12,
+        permitted_shares=None,
+        seed=1,
+        restore_ms=600.0,
     ):
         self.loop = virtual_load.Loop()
-        self.lots = random.Random(seed)
-        self._tasks = virtual_tasks.Tasks(self.loop, self.lots, restore_ms)
+        self.rng = random.Random(seed)
+        self._tasks = virtual_tasks.Tasks(self.loop, self.rng, restore_ms)
         self.cpu_s = 0.0
         self.cpu_by_second = collections.Counter()
         self.starts = 0
         self.stops = 0
         self.moves = 0
         self.polls = 0
-        self.questions = 0
+        self.queries = 0
         self.waits = []
         self.silent_helpers = set()
         self.cut_helpers = set()
         self._queues = {queue.name: queue for queue in queues}
-        self._good_shares = good_shares or {}
+        self._permitted_shares = permitted_shares or {}
         self._helpers = [f"helper-{number}" for number in range(helpers)]
-        self._done_ms = {}
-        self._due = {}
+        self._completed_ms = {}
+        self._submissions = {}
         self._machines = {
             record.target_id: virtual_workers.Machine(self, record)
             for record in records
@@ -97,13 +104,13 @@
         self._log.config = cell.CellConfig(1, list(queues), pools, b"{}")
         self._log.targets = {record.target_id: record for record in records}
         self._epoch = 0
-        self.leading = None
-        self._lead_anew()
+        self.term = None
+        self._start_term()
         self.loop.after(0, self._tick)
-        self._heartbeats()
+        self._send_heartbeats()
 
     def submit(self, queue_name, job_id, works):
-        """Hand a job in now."""
+        """Submit a job now."""
         self._tasks.add(job_id, works)
         request = cell.SubmitJob(
             virtual_parts.HOST,
@@ -115,33 +122,33 @@
             0,
         )
         objective_ms = virtual_parts.objective_ms(self._queues[queue_name], works)
-        self._due[job_id] = (queue_name, self.loop.now_ms, objective_ms)
+        self._submissions[job_id] = (queue_name, self.loop.now_ms, objective_ms)
         self._submit_until_accepted(request)
 
-    def submit_at(self, moment_ms, queue_name, job_id, works):
-        """Hand a job in later."""
-        self.loop.at(moment_ms, lambda: self.submit(queue_name, job_id, works))
+    def submit_at(self, time_ms, queue_name, job_id, works):
+        """Submit a job at a later time."""
+        self.loop.at(time_ms, lambda: self.submit(queue_name, job_id, works))
 
     def _submit_until_accepted(self, request):
         accepted = []
         self._request(request, accepted.append)
 
-        def again():
+        def retry():
             if not accepted:
                 self._submit_until_accepted(request)
 
-        self.loop.after(CALLER_RETRIES_MS, again)
+        self.loop.after(CALLER_RETRY_MS, retry)
 
     def run_until(self, end_ms):
-        """Let time pass."""
+        """Advance the virtual time."""
         self.loop.run_until(end_ms)
-        self._note_done()
+        self._record_completions()
 
     def outcomes(self):
-        """An Outcome for each queue."""
-        self._note_done()
+        """The ``virtual_parts.Outcome`` of each queue."""
+        self._record_completions()
         counts = collections.defaultdict(collections.Counter)
-        for job_id, (queue_name, _due_ms, _objective_ms) in self._due.items():
+        for job_id, (queue_name, _due_ms, _objective_ms) in self._submissions.items():
             counts[queue_name][self.outcome_of(job_id)] += 1
         return {
             name: virtual_parts.Outcome(
@@ -151,108 +158,108 @@
         }
 
     def outcome_of(self, job_id):
-        """Whether a job was done ON_TIME, LATE or NEVER, so far."""
-        _queue_name, due_ms, objective_ms = self._due[job_id]
-        took_ms = self._done_ms.get(job_id, math.inf) - due_ms
+        """Whether a job has been completed ON_TIME, LATE or NEVER so far."""
+        _queue_name, submitted_ms, objective_ms = self._submissions[job_id]
+        took_ms = self._completed_ms.get(job_id, math.inf) - submitted_ms
         if took_ms <= objective_ms:
             return ON_TIME
         return LATE if took_ms <= LATE_AFTER_OBJECTIVES * objective_ms else NEVER
 
-    def leave_at(self, moment_ms, target_ids):
-        """Workers that end later, with all that runs there, and never come back."""
+    def leave_at(self, time_ms, target_ids):
+        """Make workers leave at a given time, with all their runs, for good."""
         for target_id in target_ids:
-            self.loop.at(moment_ms, self._machines[target_id].leave)
+            self.loop.at(time_ms, self._machines[target_id].leave)
 
-    def crash_at(self, moment_ms, target_ids):
-        """Workers that end later without a word; nobody answers in their place."""
+    def crash_at(self, time_ms, target_ids):
+        """Make workers crash at a given time; calls to them time out."""
         for target_id in target_ids:
-            self.loop.at(moment_ms, self._machines[target_id].crash)
+            self.loop.at(time_ms, self._machines[target_id].crash)
 
-    def join_at(self, moment_ms, records):
-        """Workers that are there from a later moment on."""
+    def join_at(self, time_ms, records):
+        """Make workers join at a given time."""
         for record in records:
-            self.loop.at(moment_ms, lambda record=record: self._join(record))
+            self.loop.at(time_ms, lambda record=record: self._join(record))
 
-    def cut_off_at(self, moment_ms, target_ids, for_ms):
-        """Workers that neither hear nor answer for a while."""
+    def cut_off_at(self, time_ms, target_ids, for_ms):
+        """Cut workers off for ``for_ms``: they neither receive nor answer calls."""
         for target_id in target_ids:
             machine = self._machines[target_id]
-            self.loop.at(moment_ms, machine.cut_off)
-            self.loop.at(moment_ms + for_ms, machine.come_back)
+            self.loop.at(time_ms, machine.cut_off)
+            self.loop.at(time_ms + for_ms, machine.reconnect)
 
-    def drain_at(self, moment_ms, target_ids, for_ms):
-        """Workers that get nothing new from a moment on, and leave a while later."""
+    def drain_at(self, time_ms, target_ids, for_ms):
+        """Make workers drain from a given time on, and leave ``for_ms`` later."""
         for target_id in target_ids:
-            self.loop.at(moment_ms, lambda name=target_id: self._drain(name))
-            self.loop.at(
-                moment_ms + for_ms, lambda name=target_id: self._withdraw(name)
-            )
-
-    def lose_leader_at(self, moment_ms, for_ms):
-        """The leader ends with all it has not committed; later another takes over."""
-        self.loop.at(moment_ms, self._lose_leader)
-        self.loop.at(moment_ms + for_ms, self._lead_anew)
-
-    def call(self, act):
-        """Have something happen at a worker."""
-        self.loop.after(HOP_MS, act)
-
-    def mail(self, mail):
-        """A worker's answer, on its way to the leader."""
-        self.loop.after(HOP_MS, lambda: self._lead(lambda: self._take(mail)))
+            self.loop.at(time_ms, lambda name=target_id: self._drain(name))
+            self.loop.at(time_ms + for_ms, lambda name=target_id: self._withdraw(name))
+
+    def lose_leader_at(self, time_ms, for_ms):
+        """End the leader and lose all it has not committed; start another later."""
+        self.loop.at(time_ms, self._lose_leader)
+        self.loop.at(time_ms + for_ms, self._start_term)
+
+    def call(self, callback):
+        """Call a function at a worker, after the network delay."""
+        self.loop.after(HOP_MS, callback)
+
+    def deliver(self, answer):
+        """Deliver the answer of a worker to the leader, after the network delay."""
+        self.loop.after(
+            HOP_MS, lambda: self._run_leader(lambda: self._handle_answer(answer))
+        )
 
     def work_of(self, order):
-        """How long a run works, and how it ends."""
+        """How long a run takes, and how it ends."""
         return self._tasks.work_of(order)
 
     def step_of(self, key):
         """The step of a task."""
         return self._tasks.step_of(key)
 
-    def began(self, machine, run):
-        """A run began on a worker."""
-        self._tasks.began(machine, run)
+    def on_run_started(self, machine, run):
+        """A run has started on a worker."""
+        self._tasks.on_run_started(machine, run)
 
-    def ended(self, machine, run, how):
-        """A run ended on a worker, or went with it."""
+    def on_run_ended(self, machine, run, how):
+        """A run has ended on a worker, or together with it."""
 
     def save(self, run, how, now_ms):
-        """What a run that ends leaves: its checkpoint if its step saves."""
+        """Save the progress of a run that ends; returns its checkpoint, or ''."""
         return self._tasks.save(run, how, now_ms)
 
-    def _lead_anew(self):
-        """A new term begins, with what is committed."""
+    def _start_term(self):
+        """Start a new term of leadership from the committed state."""
         self._epoch += 1
         now_ms = lambda: int(self.loop.now_ms)
         settings = virtual_settings.parsed()
-        self.leading = director.LeadershipTerm(
+        self.term = director.LeadershipTerm(
             self._epoch,
             leader_state.Environment(
                 settings=settings,
                 clock=clocks.Clock(now_ms, now_ms),
                 metrics=metrics.Metrics(),
                 record=self._record,
-                confirm=lambda act, _refuse: self._after_commit(act),
+                confirm=lambda callback, _refuse: self._after_commit(callback),
                 committed=lambda: self._log,
                 cell_offset_ms=lambda: 0,
                 is_time_known=lambda: True,
                 helpers=lambda: self._helpers,
-                send_query=self._ask,
+                send_query=self._send_query,
                 open_link=self._open_link,
                 contact="",
             ),
         )
 
     def _lose_leader(self):
-        self.leading = None
+        self.term = None
 
-    def _after_commit(self, act):
-        """Have something happen after a commit, if that leader still leads."""
-        leading = self.leading
+    def _after_commit(self, callback):
+        """Call a function after a commit, if the term has not ended by then."""
+        term = self.term
 
         def if_leading():
-            if self.leading is leading:
-                act()
+            if self.term is term:
+                callback()
 
         self.loop.after(COMMIT_MS, if_leading)
 
@@ -263,65 +270,65 @@
         self.starts += kind == "run_placed"
         self.stops += kind == "run_preempted"
         self.moves += kind == "run_moved"
-        self.questions += kind == "permission_asked"
+        self.queries += kind == "permission_asked"
         if kind == "step_waits":
             self.waits.append(fields)
 
-    def _take(self, mail):
-        if mail.epoch != self._epoch:
+    def _handle_answer(self, answer):
+        if answer.epoch != self._epoch:
             return
-        if isinstance(mail, target_link.OrderAnswered):
-            order_answers.handle_order_answer(self.leading.leader, mail)
+        if isinstance(answer, target_link.OrderAnswered):
+            order_answers.handle_order_answer(self.term.leader, answer)
         else:
             self.polls += 1
-            worker_polls.handle_poll_answer(self.leading.leader, mail)
+            worker_polls.handle_poll_answer(self.term.leader, answer)
 
-    def _lead(self, act):
-        """Run some of the leader's code, plan, and have the decisions committed."""
-        if self.leading is None:
+    def _run_leader(self, callback):
+        """Run a function of the leader, then plan and commit the decisions."""
+        if self.term is None:
             return
         began_s = time.process_time()
-        act()
-        self.leading.planner.plan(int(self.loop.now_ms))
-        batch, effects = self.leading.leader.pop_batch()
+        callback()
+        self.term.planner.plan(int(self.loop.now_ms))
+        batch, effects = self.term.leader.pop_batch()
         took_s = time.process_time() - began_s
         self.cpu_s += took_s
         self.cpu_by_second[int(self.loop.now_ms // 1000)] += took_s
         if batch is not None:
-            self._after_commit(lambda: self._committed(batch, effects))
+            self._after_commit(lambda: self._on_commit(batch, effects))
 
-    def _committed(self, batch, effects):
+    def _on_commit(self, batch, effects):
         cell_state.apply_batch(self._log, batch)
-        self._note_done()
+        self._record_completions()
         for effect in effects:
-            self._lead(effect)
+            self._run_leader(effect)
 
     def _tick(self):
         def tick():
             now_ms = int(self.loop.now_ms)
-            self.leading.leader.permissions.give_up_overdue(now_ms)
-            running.tick(self.leading.leader, now_ms)
+            self.term.leader.permissions.give_up_overdue(now_ms)
+            running.tick(self.term.leader, now_ms)
 
-        self._lead(tick)
+        self._run_leader(tick)
         self.loop.after(TICK_MS, self._tick)
 
-    def _heartbeats(self):
-        self.loop.after(1000, self._heartbeats)
-        if self.leading is None:
+    def _send_heartbeats(self):
+        self.loop.after(1000, self._send_heartbeats)
+        if self.term is None:
             return
-        self.leading.leader.tidy()
-        self.leading.planner.tidy()
+        self.term.leader.tidy()
+        self.term.planner.tidy()
         for target_id, machine in self._machines.items():
-            if machine.is_gone or machine.is_cut_off:
+            if machine.has_ended or machine.is_cut_off:
                 continue
-            worker = self.leading.leader.workers.get(target_id)
+            worker = self.term.leader.workers.get(target_id)
             if worker is None or worker.record != machine.record:
                 self._announce(machine.record)
             else:
                 worker.announced_ms = int(self.loop.now_ms)
 
     def _announce(self, record):
-        """A heartbeat that tells something new."""
+        """Send a heartbeat that contains a change."""
         now_ms = int(self.loop.now_ms)
         self._request(cell.AnnounceTarget(record, now_ms, now_ms))
 
@@ -332,56 +339,56 @@
     def _drain(self, target_id):
         machine = self._machines[target_id]
         machine.record = machine.record._replace(state="draining")
-        if not machine.is_gone and not machine.is_cut_off:
+        if not machine.has_ended and not machine.is_cut_off:
             self._announce(machine.record)
 
     def _withdraw(self, target_id):
         machine = self._machines[target_id]
-        if not machine.is_gone and not machine.is_cut_off:
+        if not machine.has_ended and not machine.is_cut_off:
             self._request(cell.WithdrawTarget(target_id))
         machine.leave()
 
     def _request(self, request, reply=lambda answer: None):
-        self._lead(lambda: requests.handle(self.leading, request, reply))
+        self._run_leader(lambda: requests.handle(self.term, request, reply))
 
-    def answers(self, question):
-        """How the permission service answers: DECIDED, UNDECIDED or SILENT."""
+    def answer_kind(self, query):
+        """How the permission service answers a query: DECIDED, UNDECIDED or SILENT."""
         return DECIDED
 
-    def _ask(self, question):
-        how = self.answers(question)
-        if question.helper in self.silent_helpers or how == SILENT:
+    def _send_query(self, query):
+        how = self.answer_kind(query)
+        if query.helper in self.silent_helpers or how == SILENT:
             return
-        job = self.leading.leader.state.jobs[question.group[0]]
-        rule = self.leading.leader.queue_of(job).permission
-        took_ms = rule.decision_ms + rule.per_target_ms * len(question.target_ids)
+        job = self.term.leader.state.jobs[query.group[0]]
+        rule = self.term.leader.queue_of(job).permission
+        took_ms = rule.decision_ms + rule.per_target_ms * len(query.target_ids)
         granted = [
             cell.Ticket(target_id, "t")
-            for target_id in question.target_ids
-            if self._may_run(job, question.group, target_id)
+            for target_id in query.target_ids
+            if self._may_run(job, query.group, target_id)
         ]
-        is_cut = question.helper in self.cut_helpers
+        is_cut = query.helper in self.cut_helpers
         is_decided = how == DECIDED and not is_cut
         answer = cell.PermissionAnswer(
-            question.query_id, is_decided, granted if is_decided else []
+            query.query_id, is_decided, granted if is_decided else []
         )
-        leading = self.leading
+        term = self.term
 
         def tell():
-            if self.leading is leading:
-                self._lead(
-                    lambda: permission_answers.handle_answer(leading.leader, answer)
+            if self.term is term:
+                self._run_leader(
+                    lambda: permission_answers.handle_answer(term.leader, answer)
                 )
 
         self.loop.after(2 * HOP_MS + (0 if is_cut else took_ms), tell)
 
     def _may_run(self, job, group, target_id):
-        share = self._good_shares.get(job.record.queue.name, 1.0)
+        share = self._permitted_shares.get(job.record.queue.name, 1.0)
         return random.Random(f"{group}{target_id}").random() < share
 
-    def _note_done(self):
-        jobs = self.leading.leader.state.jobs if self.leading else self._log.jobs
-        for job_id in self._due:
+    def _record_completions(self):
+        jobs = self.term.leader.state.jobs if self.term else self._log.jobs
+        for job_id in self._submissions:
             is_done = job_id in jobs and jobs[job_id].state == cell_state.COMPLETED
-            if is_done and job_id not in self._done_ms:
-                self._done_ms[job_id] = self.loop.now_ms
+            if is_done and job_id not in self._completed_ms:
+                self._completed_ms[job_id] = self.loop.now_ms
--- a/tools/virtual_load.py
+++ b/tools/virtual_load.py
@@ -1,8 +1,9 @@
-"""Load on the entries' decisions in virtual time: callers, entries and runners.
+"""Simulates load on the entries in virtual time: callers, entries and runners.
 
-Tests and benches say what callers do and what runners are like, let the time pass, and
-look at what each caller got. A decision object has ``submit``, ``on_attempt_ended`` and
-``tick``, as ``serving.Service`` has; a baseline with the same methods can replace it.
+Tests and benches define the callers and the runners, advance the time, and evaluate
+what each caller received. A policy makes the decisions of an entry; it has ``submit``,
+``on_attempt_ended`` and ``tick``, as ``serving.Service`` has; a baseline with the same
+methods can replace it.
 """
 
 import heapq
@@ -21,23 +22,23 @@
 
 
 class Loop:
-    """Virtual time: functions called in the order of their moments."""
+    """Virtual time: calls functions in the order of their scheduled times."""
 
     def __init__(self):
         self.now_ms = 0.0
         self._events = []
         self._order = itertools.count()
 
-    def at(self, moment_ms, act):
-        heapq.heappush(self._events, (moment_ms, next(self._order), act))
+    def at(self, time_ms, callback):
+        heapq.heappush(self._events, (time_ms, next(self._order), callback))
 
-    def after(self, delay_ms, act):
-        self.at(self.now_ms + delay_ms, act)
+    def after(self, delay_ms, callback):
+        self.at(self.now_ms + delay_ms, callback)
 
     def run_until(self, end_ms):
         while self._events and self._events[0][0] <= end_ms:
-            self.now_ms, _, act = heapq.heappop(self._events)
-            act()
+            self.now_ms, _, callback = heapq.heappop(self._events)
+            callback()
         self.now_ms = end_ms
 
 
@@ -50,8 +51,8 @@
     priority: int = 5
 
 
-class Got(typing.NamedTuple):
-    """What a caller got, and when it was sent."""
+class CallResult(typing.NamedTuple):
+    """What a caller received, and when it had sent its request."""
 
     call: Call
     outcome: str
@@ -64,12 +65,12 @@
     @property
     def is_good(self):
         """Answered without error within its deadline."""
-        is_whole = self.outcome == "ran" and self.status < 500
-        return is_whole and self.took_ms <= self.call.deadline_ms
+        was_answered = self.outcome == "ran" and self.status < 500
+        return was_answered and self.took_ms <= self.call.deadline_ms
 
 
 class Runner:
-    """Slots, and a ``mode``: ok, slow, error or gone."""
+    """A runner with slots, and a ``mode``: ok, slow, error or gone."""
 
     def __init__(self, loop, view, slow_factor=10):
         self.loop = loop
@@ -81,8 +82,8 @@
         self.full_hits = 0
         self.busy_ms = 0.0
 
-    def take(self, call, done):
-        """Serve a call; ``done(result, status)`` when it has ended here."""
+    def handle(self, call, done):
+        """Serve a call; calls ``done(result, status)`` when it has ended."""
         if self.mode == "gone":
             done(serving.UNREACHABLE, 0)
         elif self.mode == "error":
@@ -108,33 +109,33 @@
 
 
 class Entry:
-    """Carries out the decisions of one service as the entry's threads do."""
+    """Carries out a policy's decisions for one service, as an entry's threads do."""
 
-    def __init__(self, loop, decide, domain, runners, got):
+    def __init__(self, loop, policy, domain, runners, results):
         self.loop = loop
-        self.decide = decide
+        self.policy = policy
         self.domain = domain
         self._runners = {runner.view.runner_id: runner for runner in runners}
-        self._got = got
+        self._results = results
         self._open = {}
         self._numbers = itertools.count()
         loop.after(TICK_MS, self._tick)
 
     def submit(self, call):
-        """A caller's request arrives."""
+        """Handle the request of a caller."""
         request_id = f"r{next(self._numbers)}"
         now_ms = self.loop.now_ms
         self._open[request_id] = [call, now_ms, 0, (), 0.0]
         request = serving.Request(
             request_id, call.team, call.priority, now_ms, now_ms + call.deadline_ms
         )
-        self._carry_out(self.decide.submit(request, now_ms))
+        self._apply(self.policy.submit(request, now_ms))
 
     def _tick(self):
         self.loop.after(TICK_MS, self._tick)
-        self._carry_out(self.decide.tick(self.loop.now_ms)[0])
+        self._apply(self.policy.tick(self.loop.now_ms)[0])
 
-    def _carry_out(self, decisions):
+    def _apply(self, decisions):
         for decision in decisions:
             if isinstance(decision, serving.Grant):
                 self._send(decision)
@@ -150,12 +151,14 @@
         if grant.runner.failure_domain != self.domain:
             hop_ms += DOMAIN_HOP_MS
 
-        def back(result, status):
-            self.loop.after(hop_ms, lambda: self._ended(grant, result, status, sent_ms))
+        def on_response(result, status):
+            self.loop.after(
+                hop_ms, lambda: self._on_attempt_ended(grant, result, status, sent_ms)
+            )
 
-        self.loop.after(hop_ms, lambda: runner.take(state[0], back))
+        self.loop.after(hop_ms, lambda: runner.handle(state[0], on_response))
 
-    def _ended(self, grant, result, status, sent_ms):
+    def _on_attempt_ended(self, grant, result, status, sent_ms):
         now_ms = self.loop.now_ms
         request_id, runner_id = grant.request_id, grant.runner.runner_id
         run_ms = now_ms - sent_ms
@@ -163,7 +166,7 @@
         call, arrived_ms, attempts, avoided, _ = state = self._open[request_id]
         if result == serving.ANSWERED:
             self._end(request_id, "ran", status, 0)
-        self._carry_out(self.decide.on_attempt_ended(ended, now_ms))
+        self._apply(self.policy.on_attempt_ended(ended, now_ms))
         if result == serving.ANSWERED:
             return
         state[3] = avoided = (*avoided, runner_id)
@@ -176,27 +179,29 @@
             attempts + 1,
             result,
         )
-        self._carry_out(self.decide.submit(request, now_ms, avoided))
+        self._apply(self.policy.submit(request, now_ms, avoided))
 
     def _end(self, request_id, outcome, status, retry_after_ms):
         call, arrived_ms, attempts, _, _ = self._open.pop(request_id)
         took_ms = self.loop.now_ms - arrived_ms
-        got = Got(call, outcome, status, arrived_ms, took_ms, retry_after_ms, attempts)
-        self._got.append(got)
+        result = CallResult(
+            call, outcome, status, arrived_ms, took_ms, retry_after_ms, attempts
+        )
+        self._results.append(result)
 
 
 class Cell:
-    """Entries and runners of one service over domains, and what callers got.
+    """Entries and runners of one service over failure domains, and all call results.
 
-    ``make_decide(place, random)`` makes the decision object of one entry.
+    ``make_policy(location, random)`` makes the policy of one entry.
     """
 
     def __init__(
-        self, make_decide, domains=1, entries=2, runners=6, slots=8, connections=64
+        self, make_policy, domains=1, entries=2, runners=6, slots=8, connections=64
     ):
         self.loop = Loop()
         self.random = random.Random(7)
-        self.got = []
+        self.results = []
         self.runners = [
             Runner(self.loop, _view(domain, number, slots, connections))
             for domain in range(domains)
@@ -204,14 +209,14 @@
         ]
         self.entries = []
         for domain in range(domains):
-            place = serving.EntryLocation(
+            location = serving.EntryLocation(
                 f"domain-{domain}", entries, domains * entries
             )
             for _ in range(entries):
-                decide = make_decide(place, random.Random(len(self.entries)))
-                decide.set_runners([runner.view for runner in self.runners])
-                name = place.failure_domain
-                made = Entry(self.loop, decide, name, self.runners, self.got)
+                policy = make_policy(location, random.Random(len(self.entries)))
+                policy.set_runners([runner.view for runner in self.runners])
+                name = location.failure_domain
+                made = Entry(self.loop, policy, name, self.runners, self.results)
                 self.entries.append(made)
 
     @property
@@ -219,7 +224,7 @@
         return sum(runner.view.slots for runner in self.runners)
 
     def arrivals(self, per_s, make_call, start_ms, end_ms, entries=None):
-        """Callers send at random moments, so many a second, to entries at random."""
+        """Send ``per_s`` requests a second on average, each to a random entry."""
         entries = entries or self.entries
 
         def arrive():
@@ -233,23 +238,23 @@
 
         self.loop.at(start_ms, schedule)
 
-    def burst(self, number, make_call, moment_ms, entry=None):
-        """So many requests at one moment, to one entry or spread evenly."""
+    def burst(self, number, make_call, time_ms, entry=None):
+        """Send ``number`` requests at one time, to one entry or spread over all."""
         for turn in range(number):
             target = entry or self.entries[turn % len(self.entries)]
             call = make_call(self.random)
-            self.loop.at(moment_ms, lambda e=target, c=call: e.submit(c))
+            self.loop.at(time_ms, lambda e=target, c=call: e.submit(c))
 
     def run(self, end_ms):
-        """Let time pass, and all that is open then end."""
+        """Advance the virtual time; returns the cell itself."""
         self.loop.run_until(end_ms)
         return self
 
-    def views_changed(self):
-        """Tell the entries of runners that left for good."""
+    def update_views(self):
+        """Update the entries' lists of runners, without those that are gone."""
         views = [r.view for r in self.runners if r.mode != "gone"]
         for entry in self.entries:
-            entry.decide.set_runners(views)
+            entry.policy.set_runners(views)
 
 
 def _view(domain, number, slots, connections):
@@ -268,10 +273,10 @@
 
 
 def make_service(queue_length=64, weights=None, declared_run_ms=0):
-    """A ``make_decide`` for ``Cell`` with the project's own decisions."""
+    """A ``make_policy`` for ``Cell`` with the decisions of ``serving.Service``."""
 
-    def make(place, chance):
-        service = serving.Service(place, queue_length, chance)
+    def make(location, rng):
+        service = serving.Service(location, queue_length, rng)
         service.configure(weights or {}, declared_run_ms)
         return service
 
--- a/tools/virtual_workers.py
+++ b/tools/virtual_workers.py
@@ -1,26 +1,26 @@
-"""Model workers in virtual time: they do as told at once, while they are reached.
+"""Simulated workers in virtual time: they carry out orders at once while reachable.
 
-A worker kills all it runs when its lease lapses, as the real ones do.
+A worker kills all its runs when its lease lapses, as real workers do.
 """
 
 from alderreach.core import cell_state, orders
 from alderreach.ops.controller import target_link
 
-# A worker kills what it is told to stop, or saves it first, within this.
+# Time within which a worker kills a run that it has to stop, or saves it first.
 STOP_MS = 60.0
-LEASE_MAX_MS = 6000
-# A call that gets no answer fails after this, a poll's wait added.
-CALL_LIMIT_MS = 500.0
+MAX_LEASE_MS = 6000
+# A call without an answer fails after this time; for a poll, its wait is added.
+CALL_TIMEOUT_MS = 500.0
 
 
 def task_key(task):
-    """The key that a task's name spells."""
+    """Parse the name of a task into its key."""
     job_id, *numbers = task.split(".")
     return cell_state.TaskKey(job_id, *map(int, numbers))
 
 
 class _Running:
-    """One run on a model worker."""
+    """One run on a simulated worker."""
 
     def __init__(self, order, work_ms, how, now_ms):
         self.order = order
@@ -30,67 +30,67 @@
         self.is_over = False
 
     def done_ms(self, now_ms):
-        """How much of its work is done."""
+        """How much of its work is done, in milliseconds."""
         return min(self.work_ms, max(0.0, now_ms - self.began_ms))
 
 
 class Machine:
-    """A worker that does as it is told at once, until it leaves."""
+    """A worker that carries out orders at once, until it ends."""
 
     def __init__(self, world, record):
         self.world, self.record = world, record
         self.runs = {}
         self.ends = []
         self.next_end = 1
-        self.closed = {}
-        self.held = None
-        self.is_gone = False
+        self.highest_closed_run = {}
+        self.pending_poll = None
+        self.has_ended = False
         self.is_cut_off = False
         self.is_refusing = False
         self.epoch = 0
         self.lease_until_ms = 0
-        self._is_watched = False
+        self._has_lease_timer = False
 
     def leave(self):
-        """End with all that runs here; another life answers at this address now."""
-        self.is_gone = True
+        """End with all runs; another incarnation answers at this address afterwards."""
+        self.has_ended = True
         runs, self.runs = list(self.runs.values()), {}
         for run in runs:
             run.is_over = True
-            self.world.ended(self, run, "gone")
-        if self.held is not None:
-            self._release(self.held)
+            self.world.on_run_ended(self, run, "gone")
+        if self.pending_poll is not None:
+            self._answer_poll(self.pending_poll)
 
     def crash(self):
-        """End with all that runs here; nobody answers any more."""
+        """End with all runs; calls to this address time out."""
         self.is_cut_off = True
         self.leave()
 
     def refuse(self):
-        """End with all that runs here; connections are refused."""
+        """End with all runs; connections to this address are refused."""
         self.is_refusing = True
         self.crash()
 
-    def come_back_as_another(self):
-        """Another life answers at this address from now on."""
+    def accept_new_incarnation(self):
+        """Let another incarnation answer at this address from now on."""
         self.is_refusing = self.is_cut_off = False
 
     def cut_off(self):
-        """Hear and answer nothing from now on; what runs here ends with its lease."""
+        """Stop receiving and answering calls; the runs end when the lease lapses."""
         self.is_cut_off = True
 
-    def come_back(self):
-        """Hear and answer again, unless it has ended."""
-        self.is_cut_off = self.is_gone and self.is_cut_off
+    def reconnect(self):
+        """Receive and answer again, unless the worker has ended."""
+        self.is_cut_off = self.has_ended and self.is_cut_off
 
     def is_up(self):
-        """Whether it may get work: reached, and neither gone nor draining."""
-        is_here = not self.is_gone and not self.is_cut_off
+        """Whether it can be given work: reachable, not ended and not draining."""
+        is_here = not self.has_ended and not self.is_cut_off
         return is_here and self.record.state == "ready"
 
     def carry_out(self, order):
         """Carry an order out; returns the ``orders.OrderResult``."""
-        if self.is_gone:
+        if self.has_ended:
             return orders.OrderResult(orders.OTHER_INCARNATION)
         if order.epoch < self.epoch:
             return orders.OrderResult(orders.FENCED, self._clock_ms())
@@ -103,7 +103,7 @@
         return orders.OrderResult(outcome, self._clock_ms())
 
     def poll(self, poll, answer):
-        """Answer a poll once there is an end, or its time is over."""
+        """Answer a poll once there is an end to list, or its wait is over."""
         if poll.epoch < self.epoch:
             answer(orders.PollResult(orders.FENCED, self._clock_ms()))
             return
@@ -111,14 +111,14 @@
         self.ends = [end for end in self.ends if end.number > poll.cursor]
         if poll.lease_until_ms is not None:
             self._extend(poll.lease_until_ms)
-        if self.is_gone or self.ends or not poll.wait_ms:
-            answer(self._lists())
+        if self.has_ended or self.ends or not poll.wait_ms:
+            answer(self._poll_result())
             return
-        held = self.held = answer
-        self.world.loop.after(poll.wait_ms, lambda: self._release(held))
+        pending_poll = self.pending_poll = answer
+        self.world.loop.after(poll.wait_ms, lambda: self._answer_poll(pending_poll))
 
     def end(self, run, how):
-        """A run here ends, unless it has."""
+        """End a run, unless it has ended already."""
         if run.is_over:
             return
         run.is_over = True
@@ -126,26 +126,26 @@
         del self.runs[(run.order.task, run.order.run)]
         self._close(run.order)
         saved = self.world.save(run, how, now_ms)
-        self.world.ended(self, run, how)
+        self.world.on_run_ended(self, run, how)
         self.ends.append(
             orders.ListedEnd(self.next_end, run.order.task, run.order.run, how, saved)
         )
         self.next_end += 1
-        if self.held is not None:
-            self._release(self.held)
+        if self.pending_poll is not None:
+            self._answer_poll(self.pending_poll)
 
     def _start(self, order):
         key = (order.task, order.run)
         if key in self.runs:
             return orders.OK
-        if order.run <= self.closed.get(order.task, 0):
+        if order.run <= self.highest_closed_run.get(order.task, 0):
             return orders.STALE_RUN
         if order.lease_until_ms <= self._clock_ms():
             return orders.LEASE_EXPIRED
         self._extend(order.lease_until_ms)
         left_ms, how = self.world.work_of(order)
         run = self.runs[key] = _Running(order, left_ms, how, self.world.loop.now_ms)
-        self.world.began(self, run)
+        self.world.on_run_started(self, run)
         return orders.OK
 
     def _stop(self, order):
@@ -155,30 +155,32 @@
             self.world.loop.after(STOP_MS, lambda: self.end(run, "stopped"))
 
     def _close(self, order):
-        self.closed[order.task] = max(self.closed.get(order.task, 0), order.run)
+        self.highest_closed_run[order.task] = max(
+            self.highest_closed_run.get(order.task, 0), order.run
+        )
 
     def _extend(self, until_ms):
-        until_ms = min(until_ms, self._clock_ms() + LEASE_MAX_MS)
+        until_ms = min(until_ms, self._clock_ms() + MAX_LEASE_MS)
         self.lease_until_ms = max(self.lease_until_ms, until_ms)
-        if not self._is_watched:
-            self._is_watched = True
-            self.world.loop.at(self.lease_until_ms, self._watch_lease)
+        if not self._has_lease_timer:
+            self._has_lease_timer = True
+            self.world.loop.at(self.lease_until_ms, self._check_lease)
 
-    def _watch_lease(self):
-        self._is_watched = False
+    def _check_lease(self):
+        self._has_lease_timer = False
         if self._clock_ms() < self.lease_until_ms:
             self._extend(0)
             return
         for run in list(self.runs.values()):
             self.end(run, "lapsed")
 
-    def _release(self, held):
-        if self.held is held:
-            self.held = None
-            held(self._lists())
+    def _answer_poll(self, pending_poll):
+        if self.pending_poll is pending_poll:
+            self.pending_poll = None
+            pending_poll(self._poll_result())
 
-    def _lists(self):
-        if self.is_gone:
+    def _poll_result(self):
+        if self.has_ended:
             return orders.PollResult(orders.OTHER_INCARNATION)
         now_ms = self.world.loop.now_ms
         listed = [
@@ -200,7 +202,7 @@
 
 
 class Link:
-    """Stands for ``target_link.TargetLink``."""
+    """Replaces ``target_link.TargetLink``."""
 
     def __init__(self, world, machine, epoch):
         self._world, self._machine, self._epoch = world, machine, epoch
@@ -219,31 +221,31 @@
             self._fail(target_link.OrderAnswered, order, 0)
             return
         result = self._machine.carry_out(order)
-        self._tell(target_link.OrderAnswered, order, result)
+        self._respond(target_link.OrderAnswered, order, result)
 
     def _poll(self, poll):
         if self._machine.is_cut_off:
             self._fail(target_link.PollAnswered, poll, poll.wait_ms)
             return
         self._machine.poll(
-            poll, lambda result: self._tell(target_link.PollAnswered, poll, result)
+            poll, lambda result: self._respond(target_link.PollAnswered, poll, result)
         )
 
-    def _tell(self, kind, order, result):
+    def _respond(self, kind, order, result):
         if self._machine.is_cut_off:
             self._fail(kind, order, 0)
             return
-        self._mail(kind, order, result)
+        self._deliver(kind, order, result)
 
     def _fail(self, kind, order, wait_ms):
-        """No answer arrives, which is known once the call has waited for it."""
+        """Report a call without an answer, once its timeout is over."""
         is_poll = kind is target_link.PollAnswered
         is_refused = self._machine.is_refusing
         outcome = orders.CONNECTION_REFUSED if is_refused else orders.UNKNOWN
         result = (orders.PollResult if is_poll else orders.OrderResult)(outcome)
-        after_ms = 0 if is_refused else CALL_LIMIT_MS + wait_ms
-        self._world.loop.after(after_ms, lambda: self._mail(kind, order, result))
+        after_ms = 0 if is_refused else CALL_TIMEOUT_MS + wait_ms
+        self._world.loop.after(after_ms, lambda: self._deliver(kind, order, result))
 
-    def _mail(self, kind, order, result):
+    def _deliver(self, kind, order, result):
         name = self._machine.record.target_id
-        self._world.mail(kind(self._epoch, name, order, result))
+        self._world.deliver(kind(self._epoch, name, order, result))
