--- a/alderreach/decisions/admission.py
+++ b/alderreach/decisions/admission.py
@@ -44,8 +44,8 @@
     ahead_ms = min(backlog.total_ms, fair_ms)
     residual_ms = 0 if free_slots > 0 else run_ms / slots
     wait_ms = ahead_ms / slots + residual_ms
-    left_ms = request.deadline_ms - now_ms - wait_ms
-    return Estimate(wait_ms, left_ms >= RUN_MARGIN * run_ms)
+    remaining_ms = request.deadline_ms - now_ms - wait_ms
+    return Estimate(wait_ms, remaining_ms >= RUN_MARGIN * run_ms)
 
 
 def retry_after_ms(total_backlog_ms, run_ms, slots, random):
@@ -68,5 +68,5 @@
 
 def is_hopeless(request, run_ms, now_ms):
     """Whether a waiting request would miss its deadline even if it were sent now."""
-    left_ms = request.deadline_ms - now_ms
-    return left_ms <= 0 or left_ms < run_ms
+    remaining_ms = request.deadline_ms - now_ms
+    return remaining_ms <= 0 or remaining_ms < run_ms
--- a/alderreach/decisions/serving.py
+++ b/alderreach/decisions/serving.py
@@ -82,13 +82,13 @@
 class Service:
     """The waiting requests and the runners of one service."""
 
-    def __init__(self, place, queue_length, random):
+    def __init__(self, location, queue_length, random):
         self._queue_length = queue_length
         self._random = random
-        self._line = ordering.RequestQueue()
+        self._queue = ordering.RequestQueue()
         self._run_times = ordering.RunTimes()
         self._outliers = outliers.Outliers()
-        self._router = routing.Router(self._outliers, random, *place)
+        self._router = routing.Router(self._outliers, random, *location)
         self._limit = concurrency.Limit()
         self._budget = retries.Budget()
         self._running = {}
@@ -102,13 +102,13 @@
 
     def configure(self, weights, declared_run_ms):
         """Set the teams' weights and the run time that the configuration declares."""
-        self._line.set_weights(weights)
+        self._queue.set_weights(weights)
         self._run_times.set_declared(declared_run_ms)
 
     @property
     def waiting(self):
         """Number of requests in the queue."""
-        return len(self._line)
+        return len(self._queue)
 
     @property
     def running(self):
@@ -133,12 +133,12 @@
         # slow could refuse all requests, and no new measurement would correct it.
         if self._running and not self._estimate(request, now_ms).is_in_time:
             return [self._overloaded(request)]
-        self._line.push(waiting, first=request.attempt > 1)
+        self._queue.push(waiting, first=request.attempt > 1)
         if request.attempt == 1:
             self._budget.earn()
         bound = self._queue_length
         if free_places is not None:
-            bound = min(bound, len(self._line) - 1 + free_places)
+            bound = min(bound, len(self._queue) - 1 + free_places)
         decisions = self.dispatch(now_ms)
         return decisions + self._shed(waiting, bound)
 
@@ -161,18 +161,18 @@
     def dispatch(self, now_ms):
         """Grant waiting requests, and refuse those that can't meet their deadline."""
         decisions, skipped = [], set()
-        while len(self._line) and len(self._running) < self._limit.value:
-            waiting = self._line.head(now_ms, skipped)
+        while len(self._queue) and len(self._running) < self._limit.value:
+            waiting = self._queue.head(now_ms, skipped)
             if waiting is None:
                 break
             if self._is_hopeless(waiting, now_ms):
-                self._line.drop(waiting)
+                self._queue.drop(waiting)
                 decisions.append(self._deadline_refusal(waiting.request, now_ms))
                 continue
             wait_ms = self._own_wait_ms(waiting, now_ms)
             runner = self._router.pick(now_ms, wait_ms, waiting.avoided)
             if runner is not None:
-                self._line.pop(waiting)
+                self._queue.pop(waiting)
                 decisions.append(self._grant(waiting, runner))
             elif waiting.avoided:
                 skipped.add(waiting.request.request_id)
@@ -183,14 +183,14 @@
     def tick(self, now_ms):
         """Return (decisions, changes of targets for the time line) due by now."""
         changes = self._outliers.tick(now_ms)
-        removed = self._line.remove(lambda each: self._is_hopeless(each, now_ms))
+        removed = self._queue.remove(lambda each: self._is_hopeless(each, now_ms))
         late = [self._deadline_refusal(waiting.request, now_ms) for waiting in removed]
         return late + self.dispatch(now_ms), changes
 
     def withdraw(self, request_id):
         """Remove a waiting request; return whether it was waiting."""
         return bool(
-            self._line.remove(lambda each: each.request.request_id == request_id)
+            self._queue.remove(lambda each: each.request.request_id == request_id)
         )
 
     def _usable_slots(self):
@@ -202,9 +202,9 @@
         slots = self._usable_slots()
         return admission.estimate(
             request,
-            self._line.backlog(request.team, ordering.is_urgent(request)),
+            self._queue.backlog(request.team, ordering.is_urgent(request)),
             self._run_times.expected_ms(request.team),
-            self._line.weight(request.team),
+            self._queue.weight(request.team),
             slots,
             slots - len(self._running),
             now_ms,
@@ -218,11 +218,11 @@
     def _may_retry(self, request):
         was_refused = request.previous in (REFUSED, UNREACHABLE)
         return self._budget.try_spend(
-            request.attempt, was_refused, bool(len(self._line))
+            request.attempt, was_refused, bool(len(self._queue))
         )
 
     def _overloaded(self, request):
-        backlog = self._line.backlog(request.team, urgent=False)
+        backlog = self._queue.backlog(request.team, urgent=False)
         wait_ms = admission.retry_after_ms(
             backlog.total_ms,
             self._run_times.expected_ms(request.team),
@@ -234,13 +234,15 @@
     def _shed(self, newcomer, bound):
         """Refuse requests above the queue's bound, of the team that has most in it."""
         decisions = []
-        while len(self._line) > bound:
-            team, share_ms = self._line.heaviest()
+        while len(self._queue) > bound:
+            team, share_ms = self._queue.heaviest()
             own = newcomer.request.team
-            own_ms = self._line.cost_of(own) / self._line.weight(own)
-            if not admission.may_displace(own_ms, share_ms) and self._line.cost_of(own):
+            own_ms = self._queue.cost_of(own) / self._queue.weight(own)
+            if not admission.may_displace(own_ms, share_ms) and self._queue.cost_of(
+                own
+            ):
                 team = own
-            dropped = self._line.pop_newest(team)
+            dropped = self._queue.pop_newest(team)
             decisions.append(self._overloaded(dropped.request))
         return decisions
 
@@ -253,7 +255,7 @@
         return Grant(request.request_id, runner, waiting.cost_ms)
 
     def _record_attempt(self, ended, running, now_ms):
-        self._line.correct(running.team, ended.run_ms - running.cost_ms)
+        self._queue.correct(running.team, ended.run_ms - running.cost_ms)
         if ended.result == UNREACHABLE:
             self._outliers.on_unreachable(ended.runner_id, now_ms)
         if ended.result in (UNREACHABLE, REFUSED, WITHDRAWN):
--- a/alderreach/ops/entry/once.py
+++ b/alderreach/ops/entry/once.py
@@ -81,10 +81,10 @@
             self._wait_permits.release()
 
     def _must_wait(self, record, keyed):
-        verdict = idempotency.decide(
+        decision = idempotency.decide(
             record, keyed.request_id, self._entry, self._boot_id
         )
-        return verdict.step in (idempotency.Step.WAIT, idempotency.Step.CLAIM)
+        return decision.step in (idempotency.Step.WAIT, idempotency.Step.CLAIM)
 
     def _await_outcome(self, keyed, found):
         """Poll the key until it is claimed or has an outcome, or the time is up."""
@@ -92,21 +92,21 @@
         while True:
             if isinstance(found, Err):
                 return found
-            verdict = idempotency.decide(
+            decision = idempotency.decide(
                 found.ok_value, keyed.request_id, self._entry, self._boot_id
             )
-            if verdict.step is idempotency.Step.SEND:
+            if decision.step is idempotency.Step.SEND:
                 return Ok(None)
-            if verdict.step is idempotency.Step.ANSWER:
+            if decision.step is idempotency.Step.ANSWER:
                 record = found.ok_value
                 return Ok(Recorded(record.status, record.content_type, record.body))
-            if verdict.step is idempotency.Step.REFUSE:
-                return Err(answers.Failure(verdict.kind))
+            if decision.step is idempotency.Step.REFUSE:
+                return Err(answers.Failure(decision.kind))
             if self._remaining_ms(keyed) <= poll_ms:
                 return Err(answers.Failure(errors.Kind.IN_PROGRESS))
             self._pause(poll_ms)
             poll_ms = min(poll_ms * 2, MAX_POLL_MS)
-            is_free = verdict.step is idempotency.Step.CLAIM
+            is_free = decision.step is idempotency.Step.CLAIM
             found = self._record_intent(keyed) if is_free else self._read_key(keyed)
 
     def release(self, keyed):
