--- a/alderreach/core/crashes.py
+++ b/alderreach/core/crashes.py
@@ -53,8 +53,8 @@
     was_in_doubt = is_in_doubt(task, run)
     if end_kind in IN_DOUBT_END_KINDS:
         if is_newest and not was_in_doubt:
-            vanished = InDoubtRun(task.run, task.target_id, task.born_ms)
-            task.in_doubt = (*task.in_doubt, vanished)[-MAX_IN_DOUBT_RUNS:]
+            in_doubt_run = InDoubtRun(task.run, task.target_id, task.born_ms)
+            task.in_doubt = (*task.in_doubt, in_doubt_run)[-MAX_IN_DOUBT_RUNS:]
         return
     if was_in_doubt:
         task.in_doubt = tuple(each for each in task.in_doubt if each.run != run)
--- a/alderreach/decisions/cell/choice.py
+++ b/alderreach/decisions/cell/choice.py
@@ -101,7 +101,7 @@
         return cost, worker.target_id, worker
 
 
-def domains_for(workers, step, group, wanted, used):
+def preferred_domains(workers, step, group, wanted, used):
     """The failure domains in which ``wanted`` tasks of a step start first.
 
     ``workers`` are its candidates. ``used`` names the domains where other tasks of the
@@ -133,7 +133,9 @@
         plans = [_pack(members, step, group, wanted) for members in racks.values()]
         plans = [plan for plan in plans if plan is not None]
         if plans:
-            return min(plans, key=lambda plan: sum(_left(w, step) for w in plan))
+            return min(
+                plans, key=lambda plan: sum(_leftover_share(w, step) for w in plan)
+            )
     return _pack(usable, step, group, wanted)
 
 
@@ -168,10 +170,14 @@
     if step.best_effort:
         return strike_cost + _best_effort_cost(worker)
     is_remote = step.data_rack and worker.rack != step.data_rack
-    return strike_cost + (REMOTE_DATA_COST if is_remote else 0.0) + _left(worker, step)
+    return (
+        strike_cost
+        + (REMOTE_DATA_COST if is_remote else 0.0)
+        + _leftover_share(worker, step)
+    )
 
 
-def _left(worker, step):
+def _leftover_share(worker, step):
     """The share of its scarcer resource that a worker has left after one more task."""
     capacity, used, demand = worker.record.capacity, worker.used, step.demand
     cpu = capacity.cpu_millis - used[0] - demand.cpu_millis
--- a/alderreach/decisions/cell/health.py
+++ b/alderreach/decisions/cell/health.py
@@ -7,7 +7,7 @@
 - A failed run counts as a strike against its worker, once for each job; a success
   clears all strikes. A job that has failed on two workers counts against neither, since
   a broken job fails everywhere. With one strike a worker is the last choice. With
-  ``STRIKES_OUT`` strikes it gets no tasks for ``FIRST_OUT_MS``, doubled each time, and
+  ``MAX_STRIKES`` strikes it gets no tasks for ``FIRST_OUT_MS``, doubled each time, and
   is then tried again. At most ``MAX_OUT_SHARE`` of a service's workers are out at once:
   if more seem bad, the workers are not the cause.
 - A run whose progress has not changed for ``STALL_MS`` is stopped and started
@@ -26,7 +26,7 @@
 import collections
 import statistics
 
-STRIKES_OUT = 2
+MAX_STRIKES = 2
 # Most faults of a worker last some seconds; a healthy worker loses little in this time.
 FIRST_OUT_MS = 3000
 MAX_OUT_MS = 30_000
@@ -88,7 +88,7 @@
     if _is_excused(job_id, worker, peers):
         return False
     record.strikes.add(job_id)
-    if len(record.strikes) < STRIKES_OUT:
+    if len(record.strikes) < MAX_STRIKES:
         return False
     others_out = sum(
         peer is not worker and now_ms < peer.health.out_until_ms for peer in peers
--- a/alderreach/decisions/cell/permissions.py
+++ b/alderreach/decisions/cell/permissions.py
@@ -46,10 +46,10 @@
 MIN_RENEWALS = 4
 # The share of the helpers that is reserved for queries which are decided QUICK_RATIO
 # times faster.
-QUICK_SHARE = 0.34
+RESERVED_HELPER_SHARE = 0.34
 QUICK_RATIO = 4
 # Tickets are renewed early only while at least this share of the helpers is idle.
-IDLE_SHARE = 0.5
+MIN_IDLE_SHARE = 0.5
 # A query without an answer is sent to another helper after this plus twice its expected
 # decision time.
 ANSWER_SLACK_MS = 400
@@ -168,7 +168,7 @@
         need the helpers more.
         """
         idle = sum(helper not in self._busy for helper in helpers)
-        if idle < IDLE_SHARE * len(helpers):
+        if idle < MIN_IDLE_SHARE * len(helpers):
             return TICKET_MARGIN_MS
         return max_renewal_lead_ms(rule, tasks)
 
@@ -403,7 +403,7 @@
     """How many helpers a query under a rule has to leave idle for quicker ones."""
     if quickest_ms is None or rule.decision_ms < QUICK_RATIO * max(1, quickest_ms):
         return 0
-    return int(QUICK_SHARE * len(helpers))
+    return int(RESERVED_HELPER_SHARE * len(helpers))
 
 
 def _decision_ms(rule, target_ids):
--- a/alderreach/decisions/rounds.py
+++ b/alderreach/decisions/rounds.py
@@ -116,7 +116,7 @@
 
 def _place_suspect(state, job, line):
     """Place a job on probation where no other suspect runs, else retry it later."""
-    for worker in state.cell.index.search(line.shape, roomiest_first=True):
+    for worker in state.cell.index.search(line.shape, most_free_first=True):
         if not poison_jobs.is_beside_suspect(worker):
             state.start(job, worker)
             return 1
@@ -133,13 +133,13 @@
         )
         if worker is not None and worker.worker_id != job.avoided_worker_id:
             return worker
-    roomiest_first = account.objective == "waiting"
-    workers = state.cell.index.search(shape, roomiest_first)
+    most_free_first = account.objective == "waiting"
+    workers = state.cell.index.search(shape, most_free_first)
     if job.avoided_worker_id and len(workers) > 1:
         workers = [
             w for w in workers if w.worker_id != job.avoided_worker_id
         ] or workers
     if not workers:
         return None
-    choose = placement.worst_fit if roomiest_first else placement.best_fit
+    choose = placement.worst_fit if most_free_first else placement.best_fit
     return choose(workers, shape.demand)
--- a/alderreach/decisions/search.py
+++ b/alderreach/decisions/search.py
@@ -134,8 +134,8 @@
                 shapes.refresh(shape, freed_workers)
         self._freed = {}
 
-    def search(self, shape, roomiest_first=False):
-        """Return workers that fit a shape, tightest or roomiest first.
+    def search(self, shape, most_free_first=False):
+        """Return workers that fit a shape, by ascending or descending free capacity.
 
         If the list is empty and ``shape.blocked`` is set, there is none; if it isn't
         set, none was found yet and the next call continues the search.
@@ -143,7 +143,7 @@
         if shape.blocked:
             return []
         if not shape.scanning:
-            found = self._sample(shape, roomiest_first)
+            found = self._sample(shape, most_free_first)
             if found or shape.blocked:
                 return found
         found = shapes.search_freed(shape)
@@ -153,12 +153,12 @@
             found = self._scan(shape)
         return found
 
-    def _sample(self, shape, roomiest_first):
+    def _sample(self, shape, most_free_first):
         if shape.known_buckets < len(self._bucket_list):
             self._add_new_buckets(shape)
         found = []
         cpu_millis, memory_mb, accelerators = shape.demand
-        buckets = reversed(shape.buckets) if roomiest_first else shape.buckets
+        buckets = reversed(shape.buckets) if most_free_first else shape.buckets
         worker_count = 0
         for _, _, workers in buckets:
             if not workers:
--- a/alderreach/ops/controller/leader_state.py
+++ b/alderreach/ops/controller/leader_state.py
@@ -169,16 +169,16 @@
         is_same = worker is not None and worker.record.born_ms == run_in_doubt.born_ms
         return worker if is_same else None
 
-    def must_start_apart(self, task):
-        """Whether a task, as the likely cause of a crash, must start apart from others.
+    def must_start_alone(self, task):
+        """Whether a task, as the likely cause of a crash, must start alone.
 
         A worker that merely stops answering does not count. The usual cause of that is
         a network partition, which affects many tasks at once.
         """
         if crash_blame.is_suspect(task.blame):
             return True
-        vanished_on = [self._worker_of(each) for each in task.in_doubt]
-        return any(worker and worker.is_refusing for worker in vanished_on)
+        workers_in_doubt = [self._worker_of(each) for each in task.in_doubt]
+        return any(worker and worker.is_refusing for worker in workers_in_doubt)
 
     def drop_ended(self, kept):
         """Drop the entries of a dictionary whose keys belong to ended jobs."""
--- a/alderreach/ops/controller/placing.py
+++ b/alderreach/ops/controller/placing.py
@@ -337,16 +337,16 @@
         if not usable:
             return 0
         used = self._domains_of(tasks)
-        domains = choice.domains_for(usable, step, group, len(waiting), used)
+        domains = choice.preferred_domains(usable, step, group, len(waiting), used)
         ranking = choice.Ranking(usable, step, group, domains)
         for started, index in enumerate(waiting):
             key, task = cell_state.TaskKey(*group, index), tasks[index]
-            must_start_apart = self._leader.must_start_apart(task)
-            worker = _choose(ranking, key, task, must_start_apart, now_ms)
+            must_start_alone = self._leader.must_start_alone(task)
+            worker = _choose(ranking, key, task, must_start_alone, now_ms)
             if worker is None:
                 return started
             self._start(worker, group, step, index, task.run + 1, now_ms)
-            if must_start_apart:
+            if must_start_alone:
                 worker.hold_back(now_ms + crash_blame.SUSPECT_ISOLATION_MS)
             ranking.requeue(worker, now_ms)
         return len(waiting)
@@ -391,13 +391,13 @@
         )
 
 
-def _choose(ranking, key, task, must_start_apart, now_ms):
+def _choose(ranking, key, task, must_start_alone, now_ms):
     """The best worker for a task, or None.
 
-    A task that must start apart avoids workers with recently started runs.
+    A task that must start alone avoids workers with recently started runs.
     """
     failed_on = task.target_id if task.failed_run else ""
-    if not must_start_apart:
+    if not must_start_alone:
         return ranking.pop_best(key, failed_on)
     return ranking.pop_best(
         key, failed_on, lambda w: crash_blame.has_fresh_run(w, now_ms)
--- a/alderreach/ops/controller/runs.py
+++ b/alderreach/ops/controller/runs.py
@@ -133,8 +133,8 @@
 
 def strike(leader, worker, job_id):
     """Count a failure or stall against a worker."""
-    everyone = list(leader.workers.values())
-    if health.add_strike(worker, job_id, everyone, leader.now_ms()):
+    all_workers = list(leader.workers.values())
+    if health.add_strike(worker, job_id, all_workers, leader.now_ms()):
         leader.environment.record(
             "worker_out",
             target=worker.target_id,
--- a/alderreach/ops/controller/worker_lifecycle.py
+++ b/alderreach/ops/controller/worker_lifecycle.py
@@ -96,7 +96,7 @@
     """Drop a worker whose incarnation is known to be over, and end its runs."""
     _record_incarnation_end(leader, worker, "worker_gone")
     ends = _ends_of_runs(leader, worker)
-    _resolve_vanished(leader, worker)
+    _resolve_runs_in_doubt(leader, worker)
     for run in list(worker.runs.values()):
         end_kind = ends.get((run.key, run.run), "lost")
         runs.end_run(leader, worker, run, end_kind, run.checkpoint)
@@ -174,12 +174,12 @@
     if worker.runs or silent_ms <= timeout_ms:
         return
     leader.environment.record("worker_forgotten", target=worker.target_id)
-    clear_vanished(leader, worker)
+    clear_runs_in_doubt(leader, worker)
     leader.drop_worker(worker.target_id)
     leader.decide(gone=[worker.target_id])
 
 
-def clear_vanished(leader, worker):
+def clear_runs_in_doubt(leader, worker):
     """Resolve the runs in doubt on a worker as lost, without blame for a crash.
 
     They did not crash the worker, or it will never be known whether they did.
@@ -194,7 +194,7 @@
 
     def is_known(key):
         task = cell_state.find_task(leader.state, key)
-        return task is not None and leader.must_start_apart(task)
+        return task is not None and leader.must_start_alone(task)
 
     return crash_blame.ends_after_crash(worker, leader.now_ms(), is_known)
 
@@ -203,11 +203,11 @@
     """Keep the ends of the previous incarnation's runs until the next list."""
     if not worker.awaits_list:
         worker.previous_ends = _ends_of_runs(leader, worker)
-    _resolve_vanished(leader, worker)
+    _resolve_runs_in_doubt(leader, worker)
     worker.begin_incarnation()
 
 
-def _resolve_vanished(leader, worker):
+def _resolve_runs_in_doubt(leader, worker):
     """Resolve the runs in doubt on an incarnation that is over.
 
     They were lost with it or, if its end was not planned, have crashed it.
--- a/alderreach/ops/controller/worker_polls.py
+++ b/alderreach/ops/controller/worker_polls.py
@@ -71,7 +71,7 @@
         worker_lifecycle.begin_new_incarnation(leader, worker)
         worker.record = worker.record._replace(born_ms=result.born_ms)
         leader.decide(targets=[worker.record])
-    worker_lifecycle.clear_vanished(leader, worker)
+    worker_lifecycle.clear_runs_in_doubt(leader, worker)
     worker.update_clock_offset(result.clock_ms, now_ms)
     worker.last_contact_ms = now_ms
     worker.record_call_outcome(orders.OK, now_ms)
